--- a/crates/authentication/src/decision.rs
+++ b/crates/authentication/src/decision.rs
@@ -42,16 +42,16 @@
 
 /// How old what is known of keys is, and may be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KnowledgeLimit {
+pub struct ProofFreshness {
     /// Age of the proof; `None` when nothing is proven.
     pub age: Option<Duration>,
     /// Largest age at which a key counts; `None` when it always does.
-    pub bound: Option<Duration>,
+    pub max_age: Option<Duration>,
 }
 
-impl KnowledgeLimit {
+impl ProofFreshness {
     fn is_kept(self) -> bool {
-        self.bound.is_none_or(|bound| self.age.is_some_and(|age| age < bound))
+        self.max_age.is_none_or(|max_age| self.age.is_some_and(|age| age < max_age))
     }
 }
 
@@ -62,7 +62,7 @@
     table: &KeyTable,
     key: Option<&[u8]>,
     route_is_public: bool,
-    knowledge: KnowledgeLimit,
+    knowledge: ProofFreshness,
 ) -> Result<Caller, Denial> {
     if table.is_empty() {
         return Ok(Caller::Anonymous);
--- a/crates/authentication/src/lib.rs
+++ b/crates/authentication/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod proof;
 pub mod tenant;
 
-pub use decision::{Caller, Denial, KnowledgeLimit, authenticate};
+pub use decision::{Caller, Denial, ProofFreshness, authenticate};
 pub use key_table::{KeyTable, KeyTableError};
 pub use proof::ConfigurationProof;
 pub use tenant::{ApiKey, Tenant};
--- a/crates/authentication/src/proof.rs
+++ b/crates/authentication/src/proof.rs
@@ -38,7 +38,7 @@
 
     /// A node that was asked at `asked` said that the version in force here, or an older one,
     /// was the newest as of `age` before it answered.
-    pub fn on_told(&mut self, asked: Moment, age: Duration) {
+    pub fn on_peer_answer(&mut self, asked: Moment, age: Duration) {
         self.take(Aged { at: asked, age });
     }
 
--- a/crates/authentication/tests/keys.rs
+++ b/crates/authentication/tests/keys.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use olivegate_authentication::key_table::HashSecret;
-use olivegate_authentication::{ApiKey, Denial, KeyTable, KeyTableError, KnowledgeLimit, Tenant, authenticate};
+use olivegate_authentication::{ApiKey, Denial, KeyTable, KeyTableError, ProofFreshness, Tenant, authenticate};
 use olivegate_types::TenantName;
 use rstest::rstest;
 
 const SECRET: HashSecret = HashSecret([7; 32]);
-const ALWAYS: KnowledgeLimit = KnowledgeLimit { age: None, bound: None };
+const ALWAYS: ProofFreshness = ProofFreshness { age: None, max_age: None };
 
 fn tenant(name: &str, keys: &[&str]) -> Tenant {
     Tenant {
@@ -100,7 +100,7 @@
 #[case::at_the_bound(Some(5_000), Err(Denial::Unproven))]
 fn a_key_counts_only_while_the_proof_is_young(#[case] age_ms: Option<u64>, #[case] expected: Result<(), Denial>) {
     let knowledge =
-        KnowledgeLimit { age: age_ms.map(Duration::from_millis), bound: Some(Duration::from_millis(5_000)) };
+        ProofFreshness { age: age_ms.map(Duration::from_millis), max_age: Some(Duration::from_millis(5_000)) };
     let table = table(&[tenant("left", &["one"])]);
     assert_eq!(authenticate(&table, Some(b"one"), false, knowledge).map(drop), expected);
     assert_eq!(authenticate(&table, Some(b"other"), false, knowledge), Err(Denial::UnknownKey));
--- a/crates/authentication/tests/proof.rs
+++ b/crates/authentication/tests/proof.rs
@@ -15,14 +15,14 @@
 fn the_way_of_an_answer_counts_as_age() {
     let mut proof = ConfigurationProof::default();
     assert_eq!(proof.age(Moment::from_millis(5)), None);
-    proof.on_told(Moment::from_millis(100), ms(40));
+    proof.on_peer_answer(Moment::from_millis(100), ms(40));
     assert_eq!(proof.age(Moment::from_millis(900)), Some(ms(840)));
 }
 
 #[rstest]
 fn a_young_process_takes_proofs_older_than_itself() {
     let mut proof = ConfigurationProof::default();
-    proof.on_told(Moment::from_millis(10), ms(2_000));
+    proof.on_peer_answer(Moment::from_millis(10), ms(2_000));
     assert_eq!(proof.age(Moment::from_millis(20)), Some(ms(2_010)));
 }
 
@@ -30,8 +30,8 @@
 fn what_comes_late_replaces_nothing_younger() {
     let mut proof = ConfigurationProof::default();
     proof.on_read(Moment::from_millis(1_000));
-    proof.on_told(Moment::from_millis(1_100), ms(500));
-    proof.on_told(Moment::from_millis(200), ms(0));
+    proof.on_peer_answer(Moment::from_millis(1_100), ms(500));
+    proof.on_peer_answer(Moment::from_millis(200), ms(0));
     assert_eq!(proof.age(Moment::from_millis(1_200)), Some(ms(200)));
 }
 
@@ -115,7 +115,7 @@
                 let answer = answers.remove(0);
                 let node = &mut nodes[answer.node];
                 node.version = node.version.max(answer.version);
-                node.proof.on_told(node.clock(answer.asked), answer.age);
+                node.proof.on_peer_answer(node.clock(answer.asked), answer.age);
             }
             for node in nodes {
                 let newer = accepted.get(node.version + 1);
--- a/crates/bench/src/soak/judge_access.rs
+++ b/crates/bench/src/soak/judge_access.rs
@@ -61,7 +61,7 @@
         };
         let mut runs: Vec<&Run> = self.record.runs.iter().filter(of_limited).collect();
         runs.sort_by(|left, right| left.at_s.total_cmp(&right.at_s));
-        let allowed = LIMIT.most_in_window(&TOLERANCE) as usize;
+        let allowed = LIMIT.max_in_window(&TOLERANCE) as usize;
         let window_s = TOLERANCE.window.as_secs_f64();
         let windows = runs.iter().enumerate().map(|(first, run)| {
             let end = runs.partition_point(|other| other.at_s < run.at_s + window_s);
--- a/crates/quarantine/benches/judge.rs
+++ b/crates/quarantine/benches/judge.rs
@@ -13,7 +13,7 @@
     let now = Moment::from_millis(1_000_000);
     for number in 0..count {
         let digest = ContentDigest::of(b"GET", &number.to_le_bytes(), b"desk", b"");
-        let content = SuspectedContent { digest, beginning: None, was_answered: false };
+        let content = SuspectedContent { digest, prefix: None, was_answered: false };
         let run = FatalRun { ended: now, began: now };
         suspects.note_end(&QuarantinePolicy::default(), content, &InstanceName::new("instance-1"), run);
     }
@@ -26,7 +26,7 @@
     }
     let digest = ContentDigest::of(b"GET", black_box(TARGET), b"desk", body);
     let now = Moment::from_millis(1_000_100);
-    black_box(suspects.judge(&QuarantinePolicy::default(), &digest, false, now));
+    black_box(suspects.decide(&QuarantinePolicy::default(), &digest, false, now));
 }
 
 fn benchmarks(criterion: &mut Criterion) {
--- a/crates/quarantine/src/content.rs
+++ b/crates/quarantine/src/content.rs
@@ -42,7 +42,7 @@
     pub digest: ContentDigest,
     /// Digest of its beginning, where the body came as a stream: what begins otherwise need not be
     /// read whole to be told apart.
-    pub beginning: Option<ContentDigest>,
+    pub prefix: Option<ContentDigest>,
     /// True when a gate knows that instances have answered it before.
     pub was_answered: bool,
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -24,4 +24,4 @@
 pub use content::{ContentDigest, ContentHasher, SuspectedContent};
 pub use policy::QuarantinePolicy;
 pub use report::{Age, FatalRun, ReportedEnd, SuspectReport};
-pub use suspects::{Suspects, Verdict};
+pub use suspects::{Decision, Suspects};
--- a/crates/quarantine/src/policy.rs
+++ b/crates/quarantine/src/policy.rs
@@ -11,13 +11,13 @@
     pub refused_after: u32,
     /// Ends beyond these that are borne of a content which instances have answered before: it has to
     /// have changed its nature, which is rare, while many such contents run beside a guilty one.
-    pub answered_before: u32,
+    pub extra_if_answered: u32,
     /// Time from the last end, or the last such run, until the next such run.
     pub probe_after: Duration,
     /// Time without a request of a content after which it is forgotten.
     pub memory: Duration,
     /// Contents that are remembered at most.
-    pub most_contents: usize,
+    pub max_contents: usize,
 }
 
 impl Default for QuarantinePolicy {
@@ -25,10 +25,10 @@
         QuarantinePolicy {
             held_after: 2,
             refused_after: 3,
-            answered_before: 2,
+            extra_if_answered: 2,
             probe_after: Duration::from_secs(30),
             memory: Duration::from_secs(600),
-            most_contents: 1_024,
+            max_contents: 1_024,
         }
     }
 }
--- a/crates/quarantine/src/suspect.rs
+++ b/crates/quarantine/src/suspect.rs
@@ -35,7 +35,7 @@
     /// Instances that ended with it at work, the earliest first.
     ends: Vec<(FatalRun, InstanceName)>,
     /// Digest of its beginning, where its body came as a stream.
-    pub(crate) beginning: Option<ContentDigest>,
+    pub(crate) prefix: Option<ContentDigest>,
     /// Instances are known to have answered it.
     was_answered: bool,
     answered: Option<Moment>,
@@ -45,7 +45,7 @@
 
 impl Suspect {
     pub(crate) fn new(now: Moment) -> Self {
-        Suspect { ends: Vec::new(), beginning: None, was_answered: false, answered: None, probed: None, seen: now }
+        Suspect { ends: Vec::new(), prefix: None, was_answered: false, answered: None, probed: None, seen: now }
     }
 
     /// True when nothing is held against it.
@@ -71,12 +71,12 @@
 
     /// Ends that it takes to hold it.
     fn held_after(&self, policy: &QuarantinePolicy) -> u32 {
-        policy.held_after + if self.was_answered { policy.answered_before } else { 0 }
+        policy.held_after + if self.was_answered { policy.extra_if_answered } else { 0 }
     }
 
     /// Ends that it takes to hold it for good.
     fn refused_after(&self, policy: &QuarantinePolicy) -> u32 {
-        policy.refused_after + if self.was_answered { policy.answered_before } else { 0 }
+        policy.refused_after + if self.was_answered { policy.extra_if_answered } else { 0 }
     }
 
     /// What follows from its ends.
@@ -91,7 +91,7 @@
 
     /// Takes over what is known of its content.
     pub(crate) fn note_content(&mut self, content: &SuspectedContent) {
-        self.beginning = self.beginning.or(content.beginning);
+        self.prefix = self.prefix.or(content.prefix);
         self.was_answered |= content.was_answered;
     }
 
@@ -159,7 +159,7 @@
     pub(crate) fn report(&self, digest: ContentDigest, now: Moment) -> SuspectReport {
         let ends = self.ends.iter().map(|(run, instance)| ReportedEnd::of(instance, *run, now));
         SuspectReport {
-            content: SuspectedContent { digest, beginning: self.beginning, was_answered: self.was_answered },
+            content: SuspectedContent { digest, prefix: self.prefix, was_answered: self.was_answered },
             ends: ends.collect(),
             answered: self.answered.map(|at| Age::of(at, now)),
             probed: self.probed.map(|at| Age::of(at, now)),
--- a/crates/quarantine/src/suspects.rs
+++ b/crates/quarantine/src/suspects.rs
@@ -12,11 +12,11 @@
 
 /// What follows for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// Nothing is held against it.
-    Free,
+    Allowed,
     /// It may run while no other suspect runs at the same instance.
-    Alone,
+    Isolated,
     /// It is held, but this one run of it may show that it is innocent; alone as well.
     Probe,
     /// It may not run.
@@ -34,7 +34,7 @@
 
 /// A suspect as operators see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct SuspectStatus {
     /// Ends that count against it.
     pub ends: u32,
     /// Time since the first of them.
@@ -57,66 +57,71 @@
     }
 
     /// How a content stands; `None` when nothing is held against it.
-    pub fn standing(&self, policy: &QuarantinePolicy, content: &ContentDigest, now: Moment) -> Option<Standing> {
+    pub fn status(
+        &self,
+        policy: &QuarantinePolicy,
+        content: &ContentDigest,
+        now: Moment,
+    ) -> Option<SuspectStatus> {
         let suspect = self.contents.get(content)?;
         let first = suspect.first_end()?;
         let is_held = suspect.consequence(policy) >= Consequence::Held;
-        Some(Standing { ends: suspect.counted_ends(), age: now.since(first), is_held })
+        Some(SuspectStatus { ends: suspect.counted_ends(), age: now.since(first), is_held })
     }
 
     /// What follows for a request of `content` that has come. `may_probe` is true on the one node that
     /// lets a held content run to see whether it clears itself; such a run is noted.
-    pub fn judge(
+    pub fn decide(
         &mut self,
         policy: &QuarantinePolicy,
         content: &ContentDigest,
         may_probe: bool,
         now: Moment,
-    ) -> Verdict {
-        let Some(suspect) = self.contents.get_mut(content) else { return Verdict::Free };
+    ) -> Decision {
+        let Some(suspect) = self.contents.get_mut(content) else { return Decision::Allowed };
         match suspect.consequence(policy) {
-            Consequence::None => return Verdict::Free,
+            Consequence::None => return Decision::Allowed,
             Consequence::Alone => {
                 suspect.note_seen(now);
-                return Verdict::Alone;
+                return Decision::Isolated;
             }
             Consequence::HeldForGood => {
                 suspect.note_seen(now);
-                return Verdict::Held { retry_after: policy.memory };
+                return Decision::Held { retry_after: policy.memory };
             }
             Consequence::Held => suspect.note_seen(now),
         }
         let next_probe = suspect.next_probe(policy);
         if may_probe && now >= next_probe {
             suspect.note_probed(now);
-            return Verdict::Probe;
+            return Decision::Probe;
         }
-        Verdict::Held { retry_after: next_probe.since(now).max(Duration::from_secs(1)) }
+        Decision::Held { retry_after: next_probe.since(now).max(Duration::from_secs(1)) }
     }
 
     /// True when a content whose body came as a stream is suspected.
     pub fn has_streamed(&self) -> bool {
-        self.contents.values().any(|suspect| suspect.beginning.is_some() && !suspect.is_clear())
+        self.contents.values().any(|suspect| suspect.prefix.is_some() && !suspect.is_clear())
     }
 
     /// True when a suspected content begins like this.
-    pub fn begins(&self, beginning: &ContentDigest) -> bool {
+    pub fn matches_prefix(&self, beginning: &ContentDigest) -> bool {
         self.beginning_with(beginning).next().is_some()
     }
 
     /// What follows for a request of which only the beginning is known.
-    pub fn judge_beginning(&self, policy: &QuarantinePolicy, beginning: &ContentDigest) -> Verdict {
+    pub fn decide_by_prefix(&self, policy: &QuarantinePolicy, beginning: &ContentDigest) -> Decision {
         let found = self.beginning_with(beginning).map(|suspect| suspect.consequence(policy)).max();
         match found.unwrap_or(Consequence::None) {
-            Consequence::None => Verdict::Free,
-            Consequence::Alone => Verdict::Alone,
-            Consequence::Held | Consequence::HeldForGood => Verdict::Held { retry_after: policy.probe_after },
+            Consequence::None => Decision::Allowed,
+            Consequence::Alone => Decision::Isolated,
+            Consequence::Held | Consequence::HeldForGood => Decision::Held { retry_after: policy.probe_after },
         }
     }
 
     fn beginning_with(&self, beginning: &ContentDigest) -> impl Iterator<Item = &Suspect> {
         let suspects = self.contents.values().filter(|suspect| !suspect.is_clear());
-        suspects.filter(move |suspect| suspect.beginning.as_ref() == Some(beginning))
+        suspects.filter(move |suspect| suspect.prefix.as_ref() == Some(beginning))
     }
 
     /// Notes that `instance` ended with a run of `content`. True when that is news.
@@ -185,7 +190,7 @@
     }
 
     fn make_room(&mut self, policy: &QuarantinePolicy) {
-        while self.contents.len() > policy.most_contents {
+        while self.contents.len() > policy.max_contents {
             let least = self.contents.iter().min_by_key(|(content, suspect)| (suspect.weight(), **content));
             let Some(least) = least.map(|(content, _)| *content) else { return };
             self.contents.remove(&least);
--- a/crates/quarantine/tests/suspects.rs
+++ b/crates/quarantine/tests/suspects.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use olivegate_quarantine::{Age, ContentDigest, FatalRun, QuarantinePolicy, SuspectedContent, Suspects, Verdict};
+use olivegate_quarantine::{Age, ContentDigest, Decision, FatalRun, QuarantinePolicy, SuspectedContent, Suspects};
 use olivegate_types::{InstanceName, Moment};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -12,10 +12,10 @@
 const POLICY: QuarantinePolicy = QuarantinePolicy {
     held_after: 2,
     refused_after: 3,
-    answered_before: 2,
+    extra_if_answered: 2,
     probe_after: Duration::from_secs(30),
     memory: Duration::from_secs(600),
-    most_contents: 1_024,
+    max_contents: 1_024,
 };
 const START: u64 = 1_000_000;
 
@@ -24,7 +24,7 @@
 }
 
 fn whole(number: u8) -> SuspectedContent {
-    SuspectedContent { digest: content(number), beginning: None, was_answered: false }
+    SuspectedContent { digest: content(number), prefix: None, was_answered: false }
 }
 
 fn instance(number: usize) -> InstanceName {
@@ -48,19 +48,19 @@
     suspects
 }
 
-fn judge(suspects: &mut Suspects, may_probe: bool, millis: u64) -> Verdict {
-    suspects.judge(&POLICY, &content(0), may_probe, at(millis))
+fn judge(suspects: &mut Suspects, may_probe: bool, millis: u64) -> Decision {
+    suspects.decide(&POLICY, &content(0), may_probe, at(millis))
 }
 
 #[rstest]
-#[case::nothing(&[], Verdict::Free)]
-#[case::one_end(&[100], Verdict::Alone)]
-#[case::two(&[100, 200], Verdict::Held { retry_after: Duration::from_millis(29_200) })]
-#[case::three(&[100, 200, 300], Verdict::Held { retry_after: Duration::from_secs(600) })]
-#[case::all_struck_at_once(&[100, 100, 101, 103], Verdict::Alone)]
-#[case::begun_before_the_first_end(&[100, 120, 125], Verdict::Alone)]
-#[case::begun_just_before(&[100, 105, 109], Verdict::Alone)]
-fn ends_lead_to_what_follows(#[case] ends: &[u64], #[case] expected: Verdict) {
+#[case::nothing(&[], Decision::Allowed)]
+#[case::one_end(&[100], Decision::Isolated)]
+#[case::two(&[100, 200], Decision::Held { retry_after: Duration::from_millis(29_200) })]
+#[case::three(&[100, 200, 300], Decision::Held { retry_after: Duration::from_secs(600) })]
+#[case::all_struck_at_once(&[100, 100, 101, 103], Decision::Isolated)]
+#[case::begun_before_the_first_end(&[100, 120, 125], Decision::Isolated)]
+#[case::begun_just_before(&[100, 105, 109], Decision::Isolated)]
+fn ends_lead_to_what_follows(#[case] ends: &[u64], #[case] expected: Decision) {
     assert_eq!(judge(&mut after_ends(ends), true, 1_000), expected);
 }
 
@@ -68,17 +68,17 @@
 fn a_run_that_is_answered_clears_its_content() {
     let mut suspects = after_ends(&[100, 200]);
     assert!(suspects.note_answered(&content(0), at(300)));
-    assert_eq!(judge(&mut suspects, false, 400), Verdict::Free);
+    assert_eq!(judge(&mut suspects, false, 400), Decision::Allowed);
     assert!(!suspects.note_end(&POLICY, whole(0), &instance(7), fatal(250)), "told late of an earlier end");
     assert!(suspects.note_end(&POLICY, whole(0), &instance(8), fatal(500)));
-    assert_eq!(judge(&mut suspects, false, 600), Verdict::Alone);
+    assert_eq!(judge(&mut suspects, false, 600), Decision::Isolated);
 }
 
 #[rstest]
-#[case::two(&[100, 200], Verdict::Alone)]
-#[case::three(&[100, 200, 300], Verdict::Alone)]
-#[case::four(&[100, 200, 300, 400], Verdict::Held { retry_after: Duration::from_millis(29_400) })]
-fn a_content_that_was_answered_before_takes_more_ends(#[case] ends: &[u64], #[case] expected: Verdict) {
+#[case::two(&[100, 200], Decision::Isolated)]
+#[case::three(&[100, 200, 300], Decision::Isolated)]
+#[case::four(&[100, 200, 300, 400], Decision::Held { retry_after: Duration::from_millis(29_400) })]
+fn a_content_that_was_answered_before_takes_more_ends(#[case] ends: &[u64], #[case] expected: Decision) {
     let mut suspects = Suspects::default();
     for (number, ended) in ends.iter().enumerate() {
         let known = SuspectedContent { was_answered: number == 0, ..whole(0) };
@@ -90,13 +90,13 @@
 #[rstest]
 fn one_node_lets_a_held_content_run_once_in_a_while() {
     let mut suspects = after_ends(&[100, 200]);
-    assert!(matches!(judge(&mut suspects, true, 30_100), Verdict::Held { .. }));
-    assert!(matches!(judge(&mut suspects, false, 30_300), Verdict::Held { .. }));
-    assert_eq!(judge(&mut suspects, true, 30_300), Verdict::Probe);
-    assert!(matches!(judge(&mut suspects, true, 30_400), Verdict::Held { .. }));
-    assert_eq!(judge(&mut suspects, true, 60_400), Verdict::Probe);
+    assert!(matches!(judge(&mut suspects, true, 30_100), Decision::Held { .. }));
+    assert!(matches!(judge(&mut suspects, false, 30_300), Decision::Held { .. }));
+    assert_eq!(judge(&mut suspects, true, 30_300), Decision::Probe);
+    assert!(matches!(judge(&mut suspects, true, 30_400), Decision::Held { .. }));
+    assert_eq!(judge(&mut suspects, true, 60_400), Decision::Probe);
     suspects.note_end(&POLICY, whole(0), &instance(9), fatal(60_500));
-    assert!(matches!(judge(&mut suspects, true, 500_000), Verdict::Held { .. }), "held for good");
+    assert!(matches!(judge(&mut suspects, true, 500_000), Decision::Held { .. }), "held for good");
 }
 
 #[rstest]
@@ -104,7 +104,7 @@
     let mut suspects = after_ends(&[100, 200, 300]);
     for second in (0..1_800).step_by(300) {
         suspects.expire(&POLICY, at(second * 1_000));
-        assert!(matches!(judge(&mut suspects, false, second * 1_000), Verdict::Held { .. }), "after {second} s");
+        assert!(matches!(judge(&mut suspects, false, second * 1_000), Decision::Held { .. }), "after {second} s");
     }
     suspects.expire(&POLICY, at((1_500 + 600) * 1_000));
     assert!(suspects.is_empty());
@@ -112,7 +112,7 @@
 
 #[rstest]
 fn those_with_the_most_ends_stay_when_room_is_short() {
-    let policy = QuarantinePolicy { most_contents: 3, ..POLICY };
+    let policy = QuarantinePolicy { max_contents: 3, ..POLICY };
     let mut suspects = Suspects::default();
     suspects.note_end(&policy, whole(0), &instance(0), fatal(100));
     suspects.note_end(&policy, whole(0), &instance(1), fatal(200));
@@ -120,7 +120,7 @@
         suspects.note_end(&policy, whole(number), &instance(2), fatal(300 + u64::from(number)));
     }
     assert_eq!(suspects.contents().len(), 3);
-    assert!(matches!(judge(&mut suspects, false, 1_000), Verdict::Held { .. }));
+    assert!(matches!(judge(&mut suspects, false, 1_000), Decision::Held { .. }));
 }
 
 #[rstest]
@@ -209,12 +209,12 @@
     }
 }
 
-fn name_of(verdict: Verdict) -> &'static str {
+fn name_of(verdict: Decision) -> &'static str {
     match verdict {
-        Verdict::Free => "free",
-        Verdict::Alone => "alone",
-        Verdict::Probe => "probe",
-        Verdict::Held { .. } => "held",
+        Decision::Allowed => "free",
+        Decision::Isolated => "alone",
+        Decision::Probe => "probe",
+        Decision::Held { .. } => "held",
     }
 }
 
@@ -241,7 +241,7 @@
                     }
                 }
                 Event::Asked { may_probe } => {
-                    let verdict = suspects.judge(&POLICY, &content(0), may_probe, Moment::from_millis(now));
+                    let verdict = suspects.decide(&POLICY, &content(0), may_probe, Moment::from_millis(now));
                     prop_assert_eq!(name_of(verdict), oracle.ask(may_probe, now), "at {}", now - START);
                 }
             }
@@ -293,11 +293,11 @@
             right.merge(&POLICY, report, there);
         }
         for number in 0..3 {
-            let left = left.judge(&POLICY, &content(number), false, at(3_000));
-            let right = right.judge(&POLICY, &content(number), false, there);
+            let left = left.decide(&POLICY, &content(number), false, at(3_000));
+            let right = right.decide(&POLICY, &content(number), false, there);
             prop_assert_eq!(left, right);
             let is_told = marks.iter().any(|(marked, ..)| *marked == number);
-            prop_assert!(is_told || left == Verdict::Free);
+            prop_assert!(is_told || left == Decision::Allowed);
         }
     }
 }
--- a/crates/quota/src/collector.rs
+++ b/crates/quota/src/collector.rs
@@ -15,7 +15,7 @@
 use crate::ledger::{UsageLedger, UsageReport};
 use crate::limit::QuotaLimit;
 use crate::senders::{Addition, Senders};
-use crate::share::AdmittedPart;
+use crate::share::AdmittedFraction;
 
 /// A part of the fleet this much smaller than the whole keeps the whole limit, so that machines
 /// that are down don't make the others refuse.
@@ -35,7 +35,7 @@
     collectors: Senders<IpAddr>,
     buckets: HashMap<TenantId, Bucket>,
     zone: UsageLedger,
-    parts: Vec<AdmittedPart>,
+    parts: Vec<AdmittedFraction>,
     parts_at: Option<Moment>,
     /// Since when nodes report to it.
     began: Option<Moment>,
@@ -56,7 +56,7 @@
     }
 
     /// Takes the report of a node of the zone.
-    pub fn on_member(&mut self, from: IpAddr, report: &UsageReport, limits: &Limits, now: Moment) {
+    pub fn on_node_report(&mut self, from: IpAddr, report: &UsageReport, limits: &Limits, now: Moment) {
         if !self.is_active(now) {
             self.began = Some(now);
         }
@@ -67,7 +67,7 @@
     }
 
     /// Takes the report of another collector.
-    pub fn on_collector(&mut self, from: IpAddr, report: &UsageReport, limits: &Limits, now: Moment) {
+    pub fn on_collector_report(&mut self, from: IpAddr, report: &UsageReport, limits: &Limits, now: Moment) {
         for addition in self.collectors.take(from, report, now) {
             self.add(addition, limits, now);
         }
@@ -91,7 +91,7 @@
     }
 
     /// The tenants of whose requests only a part may be let in, where `nodes` are listed.
-    pub fn parts(&mut self, limits: &Limits, nodes: u32, now: Moment) -> &[AdmittedPart] {
+    pub fn admitted_fractions(&mut self, limits: &Limits, nodes: u32, now: Moment) -> &[AdmittedFraction] {
         if self.parts_at.is_none_or(|at| now.since(at) >= PARTS_KEPT) {
             self.parts_at = Some(now);
             self.parts = self.parts_now(limits, nodes, now);
@@ -99,14 +99,14 @@
         &self.parts
     }
 
-    fn parts_now(&mut self, limits: &Limits, nodes: u32, now: Moment) -> Vec<AdmittedPart> {
+    fn parts_now(&mut self, limits: &Limits, nodes: u32, now: Moment) -> Vec<AdmittedFraction> {
         let heard = f64::from(self.heard(now)) / f64::from(nodes.max(1));
         let fleet_part = (heard * MISSING_TOLERATED).min(1.0);
         let counted = self.began.map_or(Duration::ZERO, |began| now.since(began));
         self.buckets.retain(|tenant, _| limits.contains_key(tenant));
         let parts = self.buckets.iter_mut().filter_map(|(tenant, bucket)| {
             let part = bucket.part(limits[tenant].times(fleet_part), counted, now);
-            (part < WHOLE).then_some(AdmittedPart { tenant: *tenant, part: part as f32 })
+            (part < WHOLE).then_some(AdmittedFraction { tenant: *tenant, fraction: part as f32 })
         });
         parts.collect()
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -25,7 +25,7 @@
 pub use collector::Collector;
 pub use ledger::{UsageEntry, UsageLedger, UsageReport};
 pub use limit::{QuotaLimit, Tolerance};
-pub use share::{AdmittedPart, Excess, QuotaShare};
+pub use share::{AdmittedFraction, NodeQuotas, QuotaExceeded};
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_types::TenantName;
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -32,7 +32,7 @@
 
 impl QuotaLimit {
     /// The limit that nodes aim at, inside what `tolerance` allows.
-    pub fn aimed_at(self, tolerance: &Tolerance) -> QuotaLimit {
+    pub fn enforced_with(self, tolerance: &Tolerance) -> QuotaLimit {
         QuotaLimit {
             rate_per_s: self.rate_per_s * (1.0 + tolerance.overshoot * RATE_PART),
             burst: self.burst + tolerance.slack * BURST_PART,
@@ -45,7 +45,7 @@
     }
 
     /// Most requests that may be let in within any window.
-    pub fn most_in_window(self, tolerance: &Tolerance) -> f64 {
+    pub fn max_in_window(self, tolerance: &Tolerance) -> f64 {
         let owed = self.rate_per_s * tolerance.window.as_secs_f64() + self.burst;
         owed * (1.0 + tolerance.overshoot) + tolerance.slack
     }
--- a/crates/quota/src/share.rs
+++ b/crates/quota/src/share.rs
@@ -24,30 +24,30 @@
 
 /// The part of a tenant's requests that may be let in, from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct AdmittedPart {
+pub struct AdmittedFraction {
     /// The tenant.
     pub tenant: TenantId,
     /// The part.
-    pub part: f32,
+    pub fraction: f32,
 }
 
 /// A request beyond its tenant's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Excess {
+pub struct QuotaExceeded {
     /// When the tenant has room again.
     pub retry_after: Duration,
 }
 
 /// Quotas at one node.
 #[derive(Debug, Default)]
-pub struct QuotaShare {
+pub struct NodeQuotas {
     ledger: UsageLedger,
     told: HashMap<TenantId, f32>,
     told_at: Option<Moment>,
     fixed: HashMap<TenantId, FixedPart>,
 }
 
-impl QuotaShare {
+impl NodeQuotas {
     /// Lets a request of `tenant` in, or not. `nodes` are listed; `draw` is uniform in `[0, 1)`.
     pub fn admit(
         &mut self,
@@ -56,7 +56,7 @@
         nodes: u32,
         draw: f64,
         now: Moment,
-    ) -> Result<(), Excess> {
+    ) -> Result<(), QuotaExceeded> {
         let part = self.told_part(tenant, now);
         let is_admitted = match part {
             Some(part) => draw < part,
@@ -72,32 +72,32 @@
         if is_admitted {
             return Ok(());
         }
-        Err(Excess { retry_after: retry_after(part.unwrap_or_default(), draw) })
+        Err(QuotaExceeded { retry_after: retry_after(part.unwrap_or_default(), draw) })
     }
 
     /// The request was not run: it counts as if it had not been asked for.
-    pub fn give_back(&mut self, tenant: TenantId, now: Moment) {
+    pub fn refund(&mut self, tenant: TenantId, now: Moment) {
         self.ledger.add(tenant, -1, -1, now);
     }
 
     /// The part that a collector named lately; 1 for those it did not name.
     fn told_part(&self, tenant: TenantId, now: Moment) -> Option<f64> {
-        let is_recent = self.hears_collector(now);
+        let is_recent = self.has_recent_answer(now);
         is_recent.then(|| self.told.get(&tenant).map_or(1.0, |part| f64::from(*part)))
     }
 
     /// True while a collector's word holds.
-    pub fn hears_collector(&self, now: Moment) -> bool {
+    pub fn has_recent_answer(&self, now: Moment) -> bool {
         self.told_at.is_some_and(|at| now.since(at) <= TOLD_HOLDS)
     }
 
     /// A collector that was asked at `asked` named these parts.
-    pub fn on_told(&mut self, parts: &[AdmittedPart], asked: Moment) {
+    pub fn on_collector_answer(&mut self, parts: &[AdmittedFraction], asked: Moment) {
         if self.told_at.is_some_and(|at| at > asked) {
             return;
         }
         self.told_at = Some(asked);
-        self.told = parts.iter().map(|told| (told.tenant, told.part)).collect();
+        self.told = parts.iter().map(|told| (told.tenant, told.fraction)).collect();
         // Nobody keeps to fixed parts while collectors count.
         self.fixed.clear();
     }
--- a/crates/quota/tests/emulation/fixed.rs
+++ b/crates/quota/tests/emulation/fixed.rs
@@ -19,7 +19,7 @@
 
 impl Way for FixedParts {
     fn admit(&mut self, scenario: &Scenario, node: usize, tenant: usize, at_ms: u64, draw: f64) -> bool {
-        let limit = scenario.limit(tenant, node, at_ms).aimed_at(&TOLERANCE);
+        let limit = scenario.limit(tenant, node, at_ms).enforced_with(&TOLERANCE);
         let nodes = scenario.nodes as u32;
         let begin = || FixedPart::new(limit, nodes, FIRST_PART, moment(at_ms));
         self.parts.entry((node, tenant)).or_insert_with(begin).admit(limit, nodes, draw, moment(at_ms))
--- a/crates/quota/tests/emulation/leases.rs
+++ b/crates/quota/tests/emulation/leases.rs
@@ -47,7 +47,7 @@
 
 impl Way for OwnerLeases {
     fn admit(&mut self, scenario: &Scenario, node: usize, tenant: usize, at_ms: u64, draw: f64) -> bool {
-        let limit = scenario.limit(tenant, node, at_ms).aimed_at(&TOLERANCE);
+        let limit = scenario.limit(tenant, node, at_ms).enforced_with(&TOLERANCE);
         let owner = (tenant * 7_919 + 13) % scenario.nodes;
         if !scenario.reaches(node, owner, at_ms) {
             let nodes = scenario.nodes as u32;
@@ -64,7 +64,7 @@
             self.cross += if scenario.zone(node) == scenario.zone(owner) { 0 } else { LEASE_BYTES };
             let wanted = (limit.burst * LEASE_PART / scenario.nodes as f64).max(1.0);
             let granted =
-                self.grant(tenant, scenario.limit(tenant, owner, at_ms).aimed_at(&TOLERANCE), wanted, at_ms);
+                self.grant(tenant, scenario.limit(tenant, owner, at_ms).enforced_with(&TOLERANCE), wanted, at_ms);
             *self.leases.entry((node, tenant)).or_default() += granted;
         }
         let lease = self.leases.entry((node, tenant)).or_default();
--- a/crates/quota/tests/emulation/scenario.rs
+++ b/crates/quota/tests/emulation/scenario.rs
@@ -157,7 +157,7 @@
         while self.window.front().is_some_and(|(at, _)| at + length <= at_ms) {
             self.in_window -= self.window.pop_front().map_or(0, |(_, admitted)| admitted);
         }
-        f64::from(self.in_window) / limit.most_in_window(&TOLERANCE)
+        f64::from(self.in_window) / limit.max_in_window(&TOLERANCE)
     }
 }
 
--- a/crates/quota/tests/emulation/told.rs
+++ b/crates/quota/tests/emulation/told.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use olivegate_quota::collector::Limits;
-use olivegate_quota::{AdmittedPart, Collector, QuotaShare, UsageReport};
+use olivegate_quota::{AdmittedFraction, Collector, NodeQuotas, UsageReport};
 
 use crate::scenario::{Scenario, TOLERANCE, Way, ZONES, moment, tenant_id};
 
@@ -19,12 +19,12 @@
 
 enum Message {
     Usage { from: usize, to: usize, asked_ms: u64, report: UsageReport },
-    Told { to: usize, asked_ms: u64, parts: Vec<AdmittedPart> },
+    Told { to: usize, asked_ms: u64, parts: Vec<AdmittedFraction> },
     Zone { from: usize, to: usize, report: UsageReport },
 }
 
 pub struct ToldCounts {
-    shares: Vec<QuotaShare>,
+    shares: Vec<NodeQuotas>,
     /// The collectors of the zones: the node of the zone's number.
     collectors: Vec<Collector>,
     under_way: VecDeque<(u64, Message)>,
@@ -40,7 +40,7 @@
 }
 
 fn limits(scenario: &Scenario, node: usize, at_ms: u64) -> Limits {
-    let limit = |tenant| (tenant_id(tenant), scenario.limit(tenant, node, at_ms).aimed_at(&TOLERANCE));
+    let limit = |tenant| (tenant_id(tenant), scenario.limit(tenant, node, at_ms).enforced_with(&TOLERANCE));
     (0..scenario.tenants).map(limit).collect()
 }
 
@@ -81,15 +81,15 @@
             Message::Usage { from, to, asked_ms, report } => {
                 let limits = self.limits(scenario, to, at_ms);
                 let collector = &mut self.collectors[to];
-                collector.on_member(ip(from), &report, &limits, moment(at_ms));
-                let parts = collector.parts(&limits, scenario.nodes as u32, moment(at_ms)).to_vec();
+                collector.on_node_report(ip(from), &report, &limits, moment(at_ms));
+                let parts = collector.admitted_fractions(&limits, scenario.nodes as u32, moment(at_ms)).to_vec();
                 let bytes = HEAD_BYTES + parts.len() as u64 * PART_BYTES;
                 self.send(scenario, to, from, at_ms, bytes, Message::Told { to: from, asked_ms, parts });
             }
-            Message::Told { to, asked_ms, parts } => self.shares[to].on_told(&parts, moment(asked_ms)),
+            Message::Told { to, asked_ms, parts } => self.shares[to].on_collector_answer(&parts, moment(asked_ms)),
             Message::Zone { from, to, report } => {
                 let limits = self.limits(scenario, to, at_ms);
-                self.collectors[to].on_collector(ip(from), &report, &limits, moment(at_ms));
+                self.collectors[to].on_collector_report(ip(from), &report, &limits, moment(at_ms));
             }
         }
     }
@@ -116,7 +116,7 @@
 
 impl Way for ToldCounts {
     fn admit(&mut self, scenario: &Scenario, node: usize, tenant: usize, at_ms: u64, draw: f64) -> bool {
-        let limit = scenario.limit(tenant, node, at_ms).aimed_at(&TOLERANCE);
+        let limit = scenario.limit(tenant, node, at_ms).enforced_with(&TOLERANCE);
         let nodes = scenario.nodes as u32;
         self.shares[node].admit(tenant_id(tenant), limit, nodes, draw, moment(at_ms)).is_ok()
     }
@@ -148,7 +148,7 @@
         self.collectors = (0..ZONES).map(|_| Collector::new(generation())).collect();
         self.shares = (0..scenario.nodes)
             .map(|_| {
-                let mut share = QuotaShare::default();
+                let mut share = NodeQuotas::default();
                 share.begin_generation(generation());
                 share
             })
--- a/crates/sidecar/src/access/mod.rs
+++ b/crates/sidecar/src/access/mod.rs
@@ -10,10 +10,10 @@
 
 use olivegate_authentication::key_table::HashSecret;
 use olivegate_authentication::{
-    Caller, ConfigurationProof, Denial, KeyTable, KeyTableError, KnowledgeLimit, Tenant, authenticate,
+    Caller, ConfigurationProof, Denial, KeyTable, KeyTableError, ProofFreshness, Tenant, authenticate,
 };
 use olivegate_quota::collector::Limits;
-use olivegate_quota::{Collector, Excess, QuotaLimit, QuotaShare, TenantId};
+use olivegate_quota::{Collector, NodeQuotas, QuotaExceeded, QuotaLimit, TenantId};
 use olivegate_types::Moment;
 use tokio::sync::Notify;
 
@@ -29,7 +29,7 @@
     keys: RefCell<Rc<KeyTable>>,
     limits: RefCell<Limits>,
     proof: RefCell<ConfigurationProof>,
-    quota: RefCell<QuotaShare>,
+    quota: RefCell<NodeQuotas>,
     /// Counts for the zone when other nodes report to this one.
     pub collector: RefCell<Collector>,
     nodes: Cell<u32>,
@@ -61,7 +61,8 @@
     pub fn accept(&self, tenants: &[Tenant], bounds: &Bounds) -> Result<(), KeyTableError> {
         let keys = KeyTable::new(tenants, self.secret)?;
         let limited = keys.tenants().iter().filter(|tenant| tenant.rate_per_s > 0.0);
-        let limits = limited.map(|tenant| (TenantId::of(&tenant.name), limit_of(tenant).aimed_at(&bounds.quota)));
+        let limits =
+            limited.map(|tenant| (TenantId::of(&tenant.name), limit_of(tenant).enforced_with(&bounds.quota)));
         *self.limits.borrow_mut() = limits.collect();
         *self.keys.borrow_mut() = Rc::new(keys);
         self.wants_proof.notify_one();
@@ -82,7 +83,7 @@
         now: Moment,
     ) -> Result<Caller, Denial> {
         let bound = bounds.keys_proven_within.map(|within| within.saturating_sub(PROOF_RESERVE));
-        let knowledge = KnowledgeLimit { age: self.proof_age(now), bound };
+        let knowledge = ProofFreshness { age: self.proof_age(now), max_age: bound };
         authenticate(&self.keys.borrow(), key, is_public, knowledge)
     }
 
@@ -98,11 +99,16 @@
 
     /// A node that was asked at `asked` said that nothing newer was accepted as of `age` before.
     pub fn on_proof_told(&self, asked: Moment, age: Duration) {
-        self.proof.borrow_mut().on_told(asked, age);
+        self.proof.borrow_mut().on_peer_answer(asked, age);
     }
 
     /// Takes a place in the quota of `tenant`; `None` where it has no limit.
-    pub fn take_place(&self, tenant: &Tenant, draw: f64, now: Moment) -> Result<Option<QuotaPlace>, Excess> {
+    pub fn take_place(
+        &self,
+        tenant: &Tenant,
+        draw: f64,
+        now: Moment,
+    ) -> Result<Option<QuotaPlace>, QuotaExceeded> {
         let id = TenantId::of(&tenant.name);
         let Some(limit) = self.limits.borrow().get(&id).copied() else { return Ok(None) };
         self.quota.borrow_mut().admit(id, limit, self.nodes.get(), draw, now)?;
@@ -111,11 +117,11 @@
 
     /// The request that took `place` was not run.
     pub fn give_back(&self, place: QuotaPlace, now: Moment) {
-        self.quota.borrow_mut().give_back(place.0, now);
+        self.quota.borrow_mut().refund(place.0, now);
     }
 
     /// The node's share of the quotas, for what is told and heard of them.
-    pub fn quota(&self) -> std::cell::RefMut<'_, QuotaShare> {
+    pub fn quota(&self) -> std::cell::RefMut<'_, NodeQuotas> {
         self.quota.borrow_mut()
     }
 
--- a/crates/sidecar/src/gate/quarantine/entry.rs
+++ b/crates/sidecar/src/gate/quarantine/entry.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use futures::StreamExt;
-use olivegate_quarantine::{ContentDigest, Verdict};
+use olivegate_quarantine::{ContentDigest, Decision};
 use olivegate_types::{InstanceName, Refusal, RefusalReason};
 use tokio::sync::OwnedSemaphorePermit;
 
@@ -47,13 +47,13 @@
             self.take_word_of_edge(node, offer, content);
         }
         match self.judge(node, content) {
-            Verdict::Free => Ok(Entry::Free),
-            Verdict::Held { retry_after } => {
+            Decision::Allowed => Ok(Entry::Free),
+            Decision::Held { retry_after } => {
                 self.log_held(node, offer, content);
                 Err(held(retry_after))
             }
-            Verdict::Probe => self.place().map(Entry::Probe),
-            Verdict::Alone => {
+            Decision::Probe => self.place().map(Entry::Probe),
+            Decision::Isolated => {
                 let longest = Duration::from_millis(u64::from(offer.longest_wait_ms));
                 let place = tokio::time::timeout(longest, self.alone.clone().acquire_owned()).await;
                 let Ok(Ok(place)) = place else { return Err(waits()) };
@@ -82,9 +82,9 @@
             return Ok(entry);
         }
         match (self.judge(node, content), entry) {
-            (Verdict::Held { retry_after }, _) => Err(held(retry_after)),
-            (Verdict::Alone, Entry::Free) => self.place().map(Entry::Alone),
-            (Verdict::Probe, Entry::Free) => self.place().map(Entry::Probe),
+            (Decision::Held { retry_after }, _) => Err(held(retry_after)),
+            (Decision::Isolated, Entry::Free) => self.place().map(Entry::Alone),
+            (Decision::Probe, Entry::Free) => self.place().map(Entry::Probe),
             (_, entry) => Ok(entry),
         }
     }
@@ -106,7 +106,7 @@
         let mut bytes = 0;
         while bytes <= MOST_READ {
             let begins_otherwise =
-                content.beginning().is_some_and(|beginning| !self.suspects.borrow().begins(&beginning));
+                content.beginning().is_some_and(|beginning| !self.suspects.borrow().matches_prefix(&beginning));
             if begins_otherwise {
                 break;
             }
@@ -122,19 +122,20 @@
     }
 
     /// What follows for a request; nothing is hashed while nothing is suspected.
-    fn judge(&self, node: &Node, content: &RunContent) -> Verdict {
+    fn judge(&self, node: &Node, content: &RunContent) -> Decision {
         if self.suspects.borrow().is_empty() {
-            return Verdict::Free;
+            return Decision::Allowed;
         }
         let policy = node.settings().quarantine;
         let now = clock::now();
         let Some(digest) = content.digest() else {
             let beginning = content.beginning();
-            return beginning
-                .map_or(Verdict::Free, |beginning| self.suspects.borrow().judge_beginning(&policy, &beginning));
+            return beginning.map_or(Decision::Allowed, |beginning| {
+                self.suspects.borrow().decide_by_prefix(&policy, &beginning)
+            });
         };
         let may_probe = is_prober(node, &digest);
-        self.suspects.borrow_mut().judge(&policy, &digest, may_probe, now)
+        self.suspects.borrow_mut().decide(&policy, &digest, may_probe, now)
     }
 
     /// The edge saw instances end with this very request: their gates' word may still be on its way.
--- a/crates/sidecar/src/gate/quarantine/news.rs
+++ b/crates/sidecar/src/gate/quarantine/news.rs
@@ -17,7 +17,7 @@
     pub(super) fn standing(&self, node: &Node, content: &ContentDigest) -> String {
         let policy = node.settings().quarantine;
         let now = clock::now();
-        match self.suspects.borrow().standing(&policy, content, now) {
+        match self.suspects.borrow().status(&policy, content, now) {
             Some(standing) => {
                 let age = standing.age.as_millis();
                 format!("ends={} age_ms={age} held={}", standing.ends, standing.is_held)
--- a/crates/sidecar/src/gate/quarantine/run_content.rs
+++ b/crates/sidecar/src/gate/quarantine/run_content.rs
@@ -125,7 +125,7 @@
 
     /// As it is marked when an instance ends with it.
     pub fn suspected(&self, was_answered: bool) -> Option<SuspectedContent> {
-        Some(SuspectedContent { digest: self.digest()?, beginning: self.beginning(), was_answered })
+        Some(SuspectedContent { digest: self.digest()?, prefix: self.beginning(), was_answered })
     }
 
     /// A hash that is good for telling contents apart within this process, where the body is small.
--- a/crates/sidecar/src/peers/access.rs
+++ b/crates/sidecar/src/peers/access.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use borsh::{BorshDeserialize, BorshSerialize};
-use olivegate_quota::{AdmittedPart, UsageReport};
+use olivegate_quota::{AdmittedFraction, UsageReport};
 use olivegate_types::Moment;
 use rand::RngExt;
 use rand::seq::IteratorRandom;
@@ -68,7 +68,7 @@
     /// Age of its proof that there was none newer.
     pub proof_age: Option<Millis>,
     /// Tenants of whose requests only a part may be let in.
-    pub parts: Option<Vec<AdmittedPart>>,
+    pub parts: Option<Vec<AdmittedFraction>>,
 }
 
 /// The collector that a node asks.
@@ -161,7 +161,7 @@
     if collector == own {
         asking.on_answer(own, now);
         let parts = reports.iter().map(|report| collected(node, own, report, now)).last();
-        node.access.quota().on_told(&parts.unwrap_or_default(), now);
+        node.access.quota().on_collector_answer(&parts.unwrap_or_default(), now);
         return;
     }
     for usage in reports {
@@ -221,11 +221,11 @@
 }
 
 /// Counts what a node of the zone tells; the tenants over their quotas.
-fn collected(node: &Node, from: IpAddr, usage: &UsageReport, now: Moment) -> Vec<AdmittedPart> {
+fn collected(node: &Node, from: IpAddr, usage: &UsageReport, now: Moment) -> Vec<AdmittedFraction> {
     let limits = node.access.limits();
     let mut collector = node.access.collector.borrow_mut();
-    collector.on_member(from, usage, &limits, now);
-    collector.parts(&limits, node.access.nodes(), now).iter().copied().take(MOST_PARTS).collect()
+    collector.on_node_report(from, usage, &limits, now);
+    collector.admitted_fractions(&limits, node.access.nodes(), now).iter().copied().take(MOST_PARTS).collect()
 }
 
 /// Answers a question.
@@ -256,14 +256,14 @@
     }
     if let Some(parts) = &told.parts {
         asking.on_answer(from.ip(), now);
-        node.access.quota().on_told(parts, asked);
+        node.access.quota().on_collector_answer(parts, asked);
     }
 }
 
 /// Takes the sums of another zone.
 pub fn on_zone_usage(node: &Node, usage: &UsageReport, from: SocketAddr) {
     let limits = node.access.limits();
-    node.access.collector.borrow_mut().on_collector(from.ip(), usage, &limits, clock::now());
+    node.access.collector.borrow_mut().on_collector_report(from.ip(), usage, &limits, clock::now());
 }
 
 fn micros(moment: Moment) -> u64 {
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -211,14 +211,14 @@
     QuarantinePolicy {
         held_after: held_after as u32,
         refused_after: refused_after as u32,
-        answered_before: reader.integer_or(
+        extra_if_answered: reader.integer_or(
             "answered_before_ends",
-            u64::from(default.answered_before),
+            u64::from(default.extra_if_answered),
             0..=MOST_ENDS,
         ) as u32,
         probe_after: read_seconds(reader, "probe_after_s", default.probe_after.as_secs_f64()),
         memory: read_seconds(reader, "memory_s", default.memory.as_secs_f64()),
-        most_contents: reader.integer_or("most_contents", default.most_contents as u64, 16..=65_536) as usize,
+        max_contents: reader.integer_or("most_contents", default.max_contents as u64, 16..=65_536) as usize,
     }
 }
 
--- a/crates/sidecar/tests/decisions/suspects.rs
+++ b/crates/sidecar/tests/decisions/suspects.rs
@@ -15,7 +15,7 @@
         began: Age(index as u32),
     };
     SuspectReport {
-        content: SuspectedContent { digest, beginning: Some(digest), was_answered: true },
+        content: SuspectedContent { digest, prefix: Some(digest), was_answered: true },
         ends: (0..ends).map(end).collect(),
         answered: Some(Age(1)),
         probed: Some(Age(2)),
--- a/crates/sidecar/tests/path/quotas.rs
+++ b/crates/sidecar/tests/path/quotas.rs
@@ -31,7 +31,8 @@
     for machine in 1..=MACHINES {
         let node = fleet.start(machine, "books").await;
         Fleet::ready(&node).await;
-        eventually("the collector answers", || node.access.quota().hears_collector(olivegate_clock::now())).await;
+        eventually("the collector answers", || node.access.quota().has_recent_answer(olivegate_clock::now()))
+            .await;
     }
     // Collectors hear of all nodes.
     tokio::time::sleep(Duration::from_millis(600)).await;
