--- a/crates/sidecar/benches/answered.rs
+++ b/crates/sidecar/benches/answered.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use criterion::{Criterion, criterion_group, criterion_main};
 use olivegate_sidecar::gate::quarantine::run_content::RunContent;
-use olivegate_sidecar::gate::quarantine::witnesses::AnsweredContents;
+use olivegate_sidecar::gate::quarantine::run_history::AnsweredContents;
 
 fn content(number: u64, body: usize) -> RunContent {
     let target = Bytes::from(format!("/catalogue/search/?title=the+tempest&page={number}"));
--- a/crates/sidecar/src/gate/instance_connection.rs
+++ b/crates/sidecar/src/gate/instance_connection.rs
@@ -15,7 +15,7 @@
 use tokio_util::codec::FramedRead;
 
 use crate::gate::idle_closes::IdleCloses;
-use crate::gate::rest_trust::RestTrust;
+use crate::gate::idle_reuse::RestTrust;
 use crate::model::RepeatSafety;
 use crate::transport;
 use olivegate_clock as clock;
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -14,11 +14,11 @@
 //! - [`exchange`]: one request and its answer on such a connection.
 //! - [`notice`]: what an instance says of itself in an answer.
 //! - [`running`]: a request for as long as the instance runs it.
-//! - [`sheds`]: which chains may begin while the instance sheds.
+//! - [`shedding`]: which chains may begin while the instance sheds.
 //! - [`repeats`]: how many repeats are let through.
 //! - [`quarantine`]: requests with which instances end.
 //! - [`idle_closes`]: which closes of idle connections are a sign of an end.
-//! - [`rest_trust`]: how long a kept connection may have rested.
+//! - [`idle_reuse`]: how long a kept connection may have rested.
 //! - [`confirmation`]: the second step of an offer that may run only once.
 //! - [`serve`]: offers of other nodes.
 
@@ -28,16 +28,16 @@
 pub mod exchange;
 pub mod identity;
 pub mod idle_closes;
+pub mod idle_reuse;
 pub mod instance_connection;
 pub mod instance_end;
 pub mod notice;
 pub mod presence;
 pub mod quarantine;
 pub mod repeats;
-pub mod rest_trust;
 pub mod running;
 pub mod serve;
-pub mod sheds;
+pub mod shedding;
 pub mod slot;
 pub mod slots;
 
--- a/crates/sidecar/src/gate/quarantine/evidence.rs
+++ b/crates/sidecar/src/gate/quarantine/evidence.rs
@@ -4,7 +4,7 @@
 use olivegate_types::{InstanceName, Moment};
 
 use super::run_content::RunContent;
-use super::witnesses::Run;
+use super::run_history::Run;
 use super::{GateQuarantine, Origin};
 use crate::directory::Standing;
 use crate::state::Node;
--- a/crates/sidecar/src/gate/quarantine/mod.rs
+++ b/crates/sidecar/src/gate/quarantine/mod.rs
@@ -3,19 +3,19 @@
 //! Judged here and not at the edge: each request reaches an instance through its gate, whichever
 //! edge it came by.
 //!
-//! - [`entry`]: which requests are let in.
+//! - [`admission`]: which requests are let in.
 //! - [`evidence`]: what ends and answers of the instance say of its requests.
-//! - [`news`]: what gates tell each other.
+//! - [`reports`]: what gates tell each other.
 //! - [`run_content`]: what makes the request that runs.
 //! - [`watched_run`]: a run that is watched for the end of its instance.
-//! - [`witnesses`]: what is remembered of runs that are over.
+//! - [`run_history`]: what is remembered of runs that are over.
 
-pub mod entry;
+pub mod admission;
 pub mod evidence;
-pub mod news;
+pub mod reports;
 pub mod run_content;
+pub mod run_history;
 pub mod watched_run;
-pub mod witnesses;
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -23,8 +23,8 @@
 use olivegate_quarantine::{ContentDigest, Suspects};
 use tokio::sync::{Notify, Semaphore};
 
-pub use entry::Entry;
-use witnesses::{AnsweredContents, LeftRuns};
+pub use admission::Entry;
+use run_history::{AnsweredContents, LeftRuns};
 
 /// Where news comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/sidecar/src/gate/quarantine/watched_run.rs
+++ b/crates/sidecar/src/gate/quarantine/watched_run.rs
@@ -8,7 +8,7 @@
 
 use super::Entry;
 use super::run_content::RunContent;
-use super::witnesses::Run;
+use super::run_history::Run;
 use crate::gate::slots::InstanceSlots;
 use crate::hop::Offer;
 use crate::reply::{Answer, Body, BodyStream, FailureReason};
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -17,7 +17,7 @@
 use crate::gate::instance_connection::InstanceConnections;
 use crate::gate::instance_end::InstanceEnd;
 use crate::gate::notice::RateNotice;
-use crate::gate::sheds::Sheds;
+use crate::gate::shedding::Sheds;
 use crate::gate::slot::Slot;
 use crate::hop::Offer;
 use crate::model::{Incarnation, Instance, Millis};
--- a/crates/sidecar/tests/decisions/rest_trust.rs
+++ b/crates/sidecar/tests/decisions/idle_reuse.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use olivegate_sidecar::gate::rest_trust::RestTrust;
+use olivegate_sidecar::gate::idle_reuse::RestTrust;
 use olivegate_sidecar::model::RepeatSafety::{Safe, Unsafe};
 use olivegate_types::Moment;
 use rstest::rstest;
--- a/crates/sidecar/tests/decisions/sheds.rs
+++ b/crates/sidecar/tests/decisions/shedding.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use olivegate_http1::{Fields, RequestHead};
-use olivegate_sidecar::gate::sheds::Sheds;
+use olivegate_sidecar::gate::shedding::Sheds;
 use olivegate_sidecar::hop::{Offer, OfferedBody, Root};
 use olivegate_sidecar::importance::importance_of;
 use olivegate_sidecar::model::RepeatSafety;
