--- a/crates/sidecar/benches/answered.rs
+++ b/crates/sidecar/benches/answered.rs
@@ -20,7 +20,7 @@
         criterion.bench_function(name, |bencher| {
             bencher.iter(|| {
                 next = (next + 1) % contents.len();
-                answered.note(black_box(&contents[next]));
+                answered.insert(black_box(&contents[next]));
             });
         });
     }
--- a/crates/sidecar/src/declared/mod.rs
+++ b/crates/sidecar/src/declared/mod.rs
@@ -42,7 +42,7 @@
     /// What its gate is to be told with an offer, should it have forgotten; `None` where the instance has
     /// never declared a rate. Also that it declares none any more: a gate that has forgotten would count its
     /// changes anew, and its word would pass for older than that.
-    pub fn reminder_for(&self, instance: &InstanceName) -> Option<RateRecord> {
+    pub fn record_for(&self, instance: &InstanceName) -> Option<RateRecord> {
         self.records.get(instance).copied()
     }
 
--- a/crates/sidecar/src/edge/dispatch.rs
+++ b/crates/sidecar/src/edge/dispatch.rs
@@ -244,7 +244,7 @@
             is_repeat: attempts.has_arrived(),
             ended: self.reported_ends(),
             inherited: self.lineage.inherited,
-            declared: self.node.declared_rates.borrow().reminder_for(&instance.name),
+            declared: self.node.declared_rates.borrow().record_for(&instance.name),
             needs_confirmation: is_remote && route.safety == RepeatSafety::Unsafe,
         }
     }
--- a/crates/sidecar/src/gate/quarantine/admission.rs
+++ b/crates/sidecar/src/gate/quarantine/admission.rs
@@ -140,7 +140,7 @@
 
     /// The edge saw instances end with this very request: their gates' word may still be on its way.
     fn take_word_of_edge(&self, node: &Node, offer: &Offer, content: &RunContent) {
-        let Some(suspected) = content.suspected(self.answered.contain(content)) else { return };
+        let Some(suspected) = content.suspected(self.answered.contains(content)) else { return };
         let now = clock::now();
         for end in &offer.ended {
             self.note_end(node, suspected, &end.instance, end.run(now));
--- a/crates/sidecar/src/gate/quarantine/evidence.rs
+++ b/crates/sidecar/src/gate/quarantine/evidence.rs
@@ -5,7 +5,7 @@
 
 use super::run_content::RunContent;
 use super::run_history::Run;
-use super::{GateQuarantine, Origin};
+use super::{GateQuarantine, ReportOrigin};
 use crate::directory::Standing;
 use crate::state::Node;
 use olivegate_clock as clock;
@@ -43,7 +43,7 @@
         if was_leaving || began_later {
             return;
         }
-        let was_answered = self.answered.contain(&run.content);
+        let was_answered = self.answered.contains(&run.content);
         let Some(suspected) = run.content.suspected(was_answered) else { return };
         self.note_end(node, suspected, &run.start, FatalRun { ended, began: run.began });
         log::info!(
@@ -60,7 +60,7 @@
     pub(super) fn note_end(&self, node: &Node, content: SuspectedContent, instance: &InstanceName, run: FatalRun) {
         let policy = node.settings().quarantine;
         if self.suspects.borrow_mut().note_end(&policy, content, instance, run) {
-            self.tell(node, Origin::Seen, content.digest);
+            self.tell(node, ReportOrigin::Local, content.digest);
         }
     }
 
@@ -73,7 +73,7 @@
         if !self.suspects.borrow().is_empty() {
             self.clear(node, content);
         }
-        self.answered.note(content);
+        self.answered.insert(content);
     }
 
     fn clear(&self, node: &Node, content: &RunContent) {
@@ -81,7 +81,7 @@
         let now = clock::now();
         if self.suspects.borrow_mut().note_answered(&digest, now) {
             log::info!("event=content_cleared content={digest}");
-            self.tell(node, Origin::Seen, digest);
+            self.tell(node, ReportOrigin::Local, digest);
         }
     }
 }
--- a/crates/sidecar/src/gate/quarantine/mod.rs
+++ b/crates/sidecar/src/gate/quarantine/mod.rs
@@ -28,11 +28,11 @@
 
 /// Where news comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Origin {
+pub enum ReportOrigin {
     /// This gate saw it.
-    Seen,
+    Local,
     /// Another gate told it.
-    Told,
+    Peer,
 }
 
 /// The quarantine of one gate.
@@ -43,10 +43,10 @@
     answered: AnsweredContents,
     left: LeftRuns,
     /// Contents of which there is news to tell.
-    news: RefCell<Vec<(Origin, ContentDigest)>>,
+    news: RefCell<Vec<(ReportOrigin, ContentDigest)>>,
     /// Told when there is such.
-    pub news_changed: Notify,
-    has_heard: Cell<bool>,
+    pub reports_changed: Notify,
+    has_synced: Cell<bool>,
     heard: Notify,
 }
 
@@ -58,8 +58,8 @@
             answered: AnsweredContents::default(),
             left: LeftRuns::default(),
             news: RefCell::default(),
-            news_changed: Notify::new(),
-            has_heard: Cell::new(false),
+            reports_changed: Notify::new(),
+            has_synced: Cell::new(false),
             heard: Notify::new(),
         }
     }
--- a/crates/sidecar/src/gate/quarantine/reports.rs
+++ b/crates/sidecar/src/gate/quarantine/reports.rs
@@ -4,7 +4,7 @@
 
 use olivegate_quarantine::{ContentDigest, SuspectReport};
 
-use super::{GateQuarantine, Origin};
+use super::{GateQuarantine, ReportOrigin};
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -27,9 +27,9 @@
     }
 
     /// Has the other gates told of it.
-    pub(super) fn tell(&self, node: &Node, origin: Origin, content: ContentDigest) {
+    pub(super) fn tell(&self, node: &Node, origin: ReportOrigin, content: ContentDigest) {
         self.news.borrow_mut().push((origin, content));
-        self.news_changed.notify_one();
+        self.reports_changed.notify_one();
         self.show(node);
     }
 
@@ -49,13 +49,13 @@
             }
             let content = report.content.digest;
             log::info!("event=content_told content={content} {}", self.standing(node, &content));
-            self.tell(node, Origin::Told, content);
+            self.tell(node, ReportOrigin::Peer, content);
         }
     }
 
     /// What there is news of that came this way.
-    pub fn take_news(&self, origin: Origin) -> Vec<SuspectReport> {
-        let is_wanted = |news: &mut (Origin, ContentDigest)| news.0 == origin;
+    pub fn take_changed_reports(&self, origin: ReportOrigin) -> Vec<SuspectReport> {
+        let is_wanted = |news: &mut (ReportOrigin, ContentDigest)| news.0 == origin;
         let mut news = self.news.borrow_mut();
         let mut contents: Vec<ContentDigest> =
             news.extract_if(.., is_wanted).map(|(_, content)| content).collect();
@@ -92,20 +92,20 @@
     }
 
     /// True once this node has heard what others suspect.
-    pub fn has_heard(&self) -> bool {
-        self.has_heard.get()
+    pub fn has_synced(&self) -> bool {
+        self.has_synced.get()
     }
 
     /// Others have told, or there is nobody who could.
-    pub fn note_heard(&self) {
-        self.has_heard.set(true);
+    pub fn mark_synced(&self) {
+        self.has_synced.set(true);
         self.heard.notify_waiters();
     }
 
     /// Waits until others have told what they suspect, for a while at most.
     pub(super) async fn wait_until_heard(&self) {
         let heard = self.heard.notified();
-        if !self.has_heard.get() {
+        if !self.has_synced.get() {
             // After the limit it goes by what it has seen itself.
             let _ = tokio::time::timeout(HEARING_LIMIT, heard).await;
         }
--- a/crates/sidecar/src/gate/quarantine/run_history.rs
+++ b/crates/sidecar/src/gate/quarantine/run_history.rs
@@ -32,7 +32,7 @@
 
 impl AnsweredContents {
     /// Notes an answered content; only those with a small body are kept.
-    pub fn note(&self, content: &RunContent) {
+    pub fn insert(&self, content: &RunContent) {
         let Some(hash) = content.quick_hash(&self.hasher) else { return };
         let mut generations = self.generations.borrow_mut();
         if generations.present.len() >= GENERATION {
@@ -42,7 +42,7 @@
     }
 
     /// True when this content was answered lately.
-    pub fn contain(&self, content: &RunContent) -> bool {
+    pub fn contains(&self, content: &RunContent) -> bool {
         let generations = self.generations.borrow();
         let is_known = |hash| generations.present.contains(&hash) || generations.last.contains(&hash);
         content.quick_hash(&self.hasher).is_some_and(is_known)
--- a/crates/sidecar/src/peers/suspects.rs
+++ b/crates/sidecar/src/peers/suspects.rs
@@ -17,7 +17,7 @@
 use tokio::net::UdpSocket;
 
 use super::{MAX_DATAGRAM, PeerMessage, send_to};
-use crate::gate::quarantine::Origin;
+use crate::gate::quarantine::ReportOrigin;
 use crate::hop;
 use crate::state::Node;
 use olivegate_clock as clock;
@@ -130,16 +130,16 @@
     tokio::task::spawn_local(repeat(node.clone(), socket.clone()));
     tokio::task::spawn_local(ask_when_started(node.clone(), socket.clone()));
     loop {
-        node.gate.quarantine.news_changed.notified().await;
+        node.gate.quarantine.reports_changed.notified().await;
         tokio::time::sleep(GATHER).await;
-        tell_news(&node, &socket, Origin::Seen, TOLD_OF_SEEN).await;
-        tell_news(&node, &socket, Origin::Told, TOLD_ON).await;
+        tell_news(&node, &socket, ReportOrigin::Local, TOLD_OF_SEEN).await;
+        tell_news(&node, &socket, ReportOrigin::Peer, TOLD_ON).await;
     }
 }
 
-async fn tell_news(node: &Node, socket: &UdpSocket, origin: Origin, most: usize) {
+async fn tell_news(node: &Node, socket: &UdpSocket, origin: ReportOrigin, most: usize) {
     let gates = other_gates(node, most);
-    for part in datagrams(node.gate.quarantine.take_news(origin)) {
+    for part in datagrams(node.gate.quarantine.take_changed_reports(origin)) {
         for gate in &gates {
             send(node, socket, *gate, &part, Purpose::Tell).await;
         }
@@ -190,7 +190,7 @@
     }
     for _ in 0..ASK_ROUNDS {
         let gates = other_gates(&node, ASKED);
-        if gates.is_empty() || node.gate.quarantine.has_heard() {
+        if gates.is_empty() || node.gate.quarantine.has_synced() {
             break;
         }
         node.unheard_gates.borrow_mut().extend(&gates);
@@ -199,7 +199,7 @@
         }
         tokio::time::sleep(ASK_PAUSE).await;
     }
-    node.gate.quarantine.note_heard();
+    node.gate.quarantine.mark_synced();
 }
 
 /// Takes what another gate tells, and answers what it asks.
@@ -216,7 +216,7 @@
             let mut unheard = node.unheard_gates.borrow_mut();
             unheard.remove(&sender);
             if has_heard || unheard.is_empty() {
-                node.gate.quarantine.note_heard();
+                node.gate.quarantine.mark_synced();
             }
         }
     }
@@ -224,7 +224,7 @@
 
 async fn answer(node: &Node, socket: &UdpSocket, sender: IpAddr) {
     let reports = node.gate.quarantine.reports(&node.gate.quarantine.contents());
-    let has_heard = node.gate.quarantine.has_heard();
+    let has_heard = node.gate.quarantine.has_synced();
     let mut parts = datagrams(reports);
     // The last part says that it is all.
     let last = parts.pop().unwrap_or_default();
--- a/crates/sidecar/tests/decisions/declared.rs
+++ b/crates/sidecar/tests/decisions/declared.rs
@@ -56,11 +56,11 @@
     let mut edge = DeclaredRates::default();
     let name = InstanceName::new("one");
     edge.note(&name, record(0, None, 0));
-    assert_eq!(edge.reminder_for(&name), None);
+    assert_eq!(edge.record_for(&name), None);
     edge.note(&name, record(0, rate(5.0), 1));
-    assert_eq!(edge.reminder_for(&name), Some(record(0, rate(5.0), 1)));
+    assert_eq!(edge.record_for(&name), Some(record(0, rate(5.0), 1)));
     edge.note(&name, record(0, None, 2));
-    assert_eq!(edge.reminder_for(&name), Some(record(0, None, 2)));
+    assert_eq!(edge.record_for(&name), Some(record(0, None, 2)));
     edge.note(&name, record(0, rate(6.0), 3));
     edge.retain(|_| false);
     assert_eq!(edge.rate_of(&name), None);
@@ -119,7 +119,7 @@
                     has_read = false;
                 }
                 Step::Offers(edge) => {
-                    let reminder = edges[edge].reminder_for(&name);
+                    let reminder = edges[edge].record_for(&name);
                     let known = gate.record();
                     if let Some(told) = reminder {
                         gate.on_told(told);
