--- a/crates/bench/src/spec.rs
+++ b/crates/bench/src/spec.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use olivegate_checked::{Mistakes, Reader};
+use olivegate_checked::{FieldErrors, TableReader};
 use serde::{Deserialize, Serialize};
 
 use crate::error::BenchError;
@@ -79,8 +79,8 @@
     }
 
     /// Reads and checks text.
-    pub fn from_toml(text: &str) -> Result<Self, Mistakes> {
-        let mut reader = Reader::parse(text)?;
+    pub fn from_toml(text: &str) -> Result<Self, FieldErrors> {
+        let mut reader = TableReader::parse(text)?;
         let spec = DeploymentSpec {
             deployment: reader.name("deployment"),
             zones: reader.texts("zones"),
@@ -104,17 +104,17 @@
         Ok(spec)
     }
 
-    fn check(&self, reader: &mut Reader) {
+    fn check(&self, reader: &mut TableReader) {
         for endpoint in &self.endpoints {
             if !self.services.iter().any(|service| service.name == endpoint.service) {
-                reader.mistake("endpoints", format!("{} names an unknown service", endpoint.call));
+                reader.add_error("endpoints", format!("{} names an unknown service", endpoint.call));
             }
             for call in endpoint.calls.iter().filter(|call| self.endpoint(call).is_none()) {
-                reader.mistake("endpoints", format!("{} calls unknown {call}", endpoint.call));
+                reader.add_error("endpoints", format!("{} calls unknown {call}", endpoint.call));
             }
         }
         for traffic in self.traffic.iter().filter(|traffic| self.endpoint(&traffic.call).is_none()) {
-            reader.mistake("traffic", format!("unknown call {}", traffic.call));
+            reader.add_error("traffic", format!("unknown call {}", traffic.call));
         }
     }
 
@@ -124,7 +124,7 @@
     }
 }
 
-fn read_service(reader: &mut Reader) -> ServiceSpec {
+fn read_service(reader: &mut TableReader) -> ServiceSpec {
     ServiceSpec {
         name: reader.name("name"),
         instances: reader.integer("instances", 1..=1_000) as usize,
@@ -133,7 +133,7 @@
     }
 }
 
-fn read_endpoint(reader: &mut Reader) -> EndpointSpec {
+fn read_endpoint(reader: &mut TableReader) -> EndpointSpec {
     EndpointSpec {
         call: reader.text("call"),
         service: reader.name("service"),
--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use olivegate_checked::{Mistakes, Reader};
+use olivegate_checked::{FieldErrors, TableReader};
 use olivegate_types::{Digest, GroupName, Importance, KindName, ServiceName};
 
 use crate::error::BundleError;
@@ -14,8 +14,8 @@
 pub const MOST_RETRIES: u64 = 20;
 
 /// Reads and checks the TOML form.
-pub fn bundle_from_toml(text: &str) -> Result<Bundle, Mistakes> {
-    let mut reader = Reader::parse(text)?;
+pub fn bundle_from_toml(text: &str) -> Result<Bundle, FieldErrors> {
+    let mut reader = TableReader::parse(text)?;
     let mut bundle = Bundle {
         deployment: reader.name("deployment"),
         version: reader.integer("version", 1..=i64::MAX as u64),
@@ -27,7 +27,7 @@
         kinds: reader.sections("kinds", read_kind),
     };
     for (field, reason) in broken_rules(&bundle) {
-        reader.mistake(field, reason);
+        reader.add_error(field, reason);
     }
     reader.finish()?;
     bundle.sort();
@@ -77,23 +77,23 @@
     path.starts_with('/') && !path.starts_with("//") && path.len() >= 2
 }
 
-fn read_digest(reader: &mut Reader, field: &str) -> Option<Digest> {
+fn read_digest(reader: &mut TableReader, field: &str) -> Option<Digest> {
     let text = reader.text_or(field, "");
     if text.is_empty() {
         return None;
     }
     let bytes: Option<[u8; 32]> = hex::decode(&text).ok().and_then(|bytes| bytes.try_into().ok());
     if bytes.is_none() {
-        reader.mistake(field, "expected a digest of 64 hexadecimal digits");
+        reader.add_error(field, "expected a digest of 64 hexadecimal digits");
     }
     bytes.map(Digest)
 }
 
-fn read_objective(reader: &mut Reader) -> Objective {
+fn read_objective(reader: &mut TableReader) -> Objective {
     Objective { max_queue_wait_ms: reader.integer_or("max_queue_wait_ms", 100, 1..=10_000) as u32 }
 }
 
-fn read_limits(reader: &mut Reader) -> Limits {
+fn read_limits(reader: &mut TableReader) -> Limits {
     Limits {
         retries_per_request: reader.integer_or("retries_per_request", 3, 0..=MOST_RETRIES) as u8,
         max_hops: reader.integer_or("max_hops", 12, 1..=32) as u8,
@@ -103,7 +103,7 @@
     }
 }
 
-fn read_group(reader: &mut Reader) -> Group {
+fn read_group(reader: &mut TableReader) -> Group {
     Group {
         name: GroupName::new(reader.name("name")),
         weight: reader.integer("weight", 1..=1_000_000) as u32,
@@ -111,7 +111,7 @@
     }
 }
 
-fn read_service(reader: &mut Reader) -> Service {
+fn read_service(reader: &mut TableReader) -> Service {
     Service {
         name: ServiceName::new(reader.name("name")),
         slots: reader.integer("slots", 1..=100_000) as u32,
@@ -119,7 +119,7 @@
     }
 }
 
-fn read_kind(reader: &mut Reader) -> Kind {
+fn read_kind(reader: &mut TableReader) -> Kind {
     let kind = Kind {
         name: KindName::new(reader.name("name")),
         service: ServiceName::new(reader.name("service")),
@@ -131,7 +131,7 @@
         expected_ms: reader.integer_or("expected_ms", 20, 1..=LONGEST_DEADLINE_MS) as u32,
     };
     if !is_path_prefix(&kind.path_prefix) {
-        reader.mistake("path_prefix", "a path prefix is '/' followed by at least one whole segment");
+        reader.add_error("path_prefix", "a path prefix is '/' followed by at least one whole segment");
     }
     kind
 }
--- a/crates/checked/src/lib.rs
+++ b/crates/checked/src/lib.rs
@@ -1,8 +1,8 @@
 //! Reads a TOML table field by field and reports every mistake at once.
 //!
-//! Use it for files that an operator writes: each getter records a [`Mistake`]
+//! Use it for files that an operator writes: each getter records a [`FieldError`]
 //! (field, value, reason) and returns a default, so that reading goes on; unknown
-//! fields are mistakes. [`Reader::finish`] fails when anything was recorded.
+//! fields are mistakes. [`TableReader::finish`] fails when anything was recorded.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -12,7 +12,7 @@
 
 /// One mistake in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistake {
+pub struct FieldError {
     /// Path of the field, such as `kinds[2].importance`.
     pub field: String,
     /// The value found, as TOML text; empty when the field is missing.
@@ -21,7 +21,7 @@
     pub reason: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for FieldError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "field={} value={:?} reason={:?}", self.field, self.value, self.reason)
     }
@@ -29,9 +29,9 @@
 
 /// All mistakes of one file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Mistakes(pub Vec<Mistake>);
+pub struct FieldErrors(pub Vec<FieldError>);
 
-impl fmt::Display for Mistakes {
+impl fmt::Display for FieldErrors {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, mistake) in self.0.iter().enumerate() {
             if index > 0 {
@@ -43,22 +43,22 @@
     }
 }
 
-impl std::error::Error for Mistakes {}
+impl std::error::Error for FieldErrors {}
 
 /// Reads one table and its sub-tables.
 #[derive(Debug)]
-pub struct Reader {
+pub struct TableReader {
     table: Table,
     path: String,
     known: BTreeSet<String>,
-    mistakes: Vec<Mistake>,
+    mistakes: Vec<FieldError>,
 }
 
-impl Reader {
+impl TableReader {
     /// Parses TOML text. A syntax error is a single mistake of the whole file.
-    pub fn parse(text: &str) -> Result<Self, Mistakes> {
+    pub fn parse(text: &str) -> Result<Self, FieldErrors> {
         let table = text.parse::<Table>().map_err(|error| {
-            Mistakes(vec![Mistake {
+            FieldErrors(vec![FieldError {
                 field: "(file)".into(),
                 value: String::new(),
                 reason: error.message().to_string(),
@@ -73,7 +73,7 @@
     }
 
     fn of(table: Table, path: String) -> Self {
-        Reader { table, path, known: BTreeSet::new(), mistakes: Vec::new() }
+        TableReader { table, path, known: BTreeSet::new(), mistakes: Vec::new() }
     }
 
     fn field_path(&self, field: &str) -> String {
@@ -86,10 +86,10 @@
     }
 
     /// Records a mistake in `field` of this table.
-    pub fn mistake(&mut self, field: &str, reason: impl Into<String>) {
+    pub fn add_error(&mut self, field: &str, reason: impl Into<String>) {
         let value = self.table.get(field).map(Value::to_string).unwrap_or_default();
         let field = self.field_path(field);
-        self.mistakes.push(Mistake { field, value, reason: reason.into() });
+        self.mistakes.push(FieldError { field, value, reason: reason.into() });
     }
 
     /// True when the field is present.
@@ -120,7 +120,7 @@
         let text = self.text(field);
         let fits = text.len() <= 63 && text.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c));
         if !fits {
-            self.mistake(field, "a name has at most 63 letters, digits, '-', '_' or '.'");
+            self.add_error(field, "a name has at most 63 letters, digits, '-', '_' or '.'");
         }
         text
     }
@@ -191,7 +191,7 @@
         let text = self.text(field);
         let parsed = text.parse().ok();
         if parsed.is_none() && !missing && !text.is_empty() {
-            self.mistake(field, format!("expected {what}"));
+            self.add_error(field, format!("expected {what}"));
         }
         parsed
     }
@@ -210,17 +210,17 @@
         };
         let texts: Vec<String> = values.iter().filter_map(Value::as_str).map(str::to_string).collect();
         if texts.len() != values.len() {
-            self.mistake(field, "expected a list of texts");
+            self.add_error(field, "expected a list of texts");
         }
         texts
     }
 
     /// A sub-table read by `read`; an absent one is read as empty.
-    pub fn section<T>(&mut self, field: &str, read: impl FnOnce(&mut Reader) -> T) -> T {
+    pub fn section<T>(&mut self, field: &str, read: impl FnOnce(&mut TableReader) -> T) -> T {
         let table = match self.take(field) {
             Some(Value::Table(table)) => table,
             Some(_) => {
-                self.mistake(field, "expected a table");
+                self.add_error(field, "expected a table");
                 Table::new()
             }
             None => Table::new(),
@@ -230,7 +230,7 @@
     }
 
     /// A list of tables, each read by `read`.
-    pub fn sections<T>(&mut self, field: &str, mut read: impl FnMut(&mut Reader) -> T) -> Vec<T> {
+    pub fn sections<T>(&mut self, field: &str, mut read: impl FnMut(&mut TableReader) -> T) -> Vec<T> {
         let values = match self.take(field) {
             Some(Value::Array(values)) => values,
             Some(_) => return self.wrong(field, "expected a list of tables"),
@@ -241,14 +241,14 @@
             let path = format!("{}[{index}]", self.field_path(field));
             match value {
                 Value::Table(table) => items.push(self.read_table(table, path, &mut read)),
-                _ => self.mistake(field, "expected a list of tables"),
+                _ => self.add_error(field, "expected a list of tables"),
             }
         }
         items
     }
 
-    fn read_table<T>(&mut self, table: Table, path: String, read: impl FnOnce(&mut Reader) -> T) -> T {
-        let mut reader = Reader::of(table, path);
+    fn read_table<T>(&mut self, table: Table, path: String, read: impl FnOnce(&mut TableReader) -> T) -> T {
+        let mut reader = TableReader::of(table, path);
         let item = read(&mut reader);
         reader.report_unknown_fields();
         self.mistakes.append(&mut reader.mistakes);
@@ -256,20 +256,20 @@
     }
 
     fn wrong<T: Default>(&mut self, field: &str, reason: &str) -> T {
-        self.mistake(field, reason);
+        self.add_error(field, reason);
         T::default()
     }
 
     fn report_unknown_fields(&mut self) {
         let unknown: Vec<String> = self.table.keys().filter(|key| !self.known.contains(*key)).cloned().collect();
         for field in unknown {
-            self.mistake(&field, "unknown field");
+            self.add_error(&field, "unknown field");
         }
     }
 
     /// Ends reading: fails with every mistake found, unknown fields included.
-    pub fn finish(mut self) -> Result<(), Mistakes> {
+    pub fn finish(mut self) -> Result<(), FieldErrors> {
         self.report_unknown_fields();
-        if self.mistakes.is_empty() { Ok(()) } else { Err(Mistakes(self.mistakes)) }
+        if self.mistakes.is_empty() { Ok(()) } else { Err(FieldErrors(self.mistakes)) }
     }
 }
--- a/crates/checked/tests/reader.rs
+++ b/crates/checked/tests/reader.rs
@@ -1,9 +1,9 @@
 //! Every mistake of a file is named at once.
 
-use olivegate_checked::Reader;
+use olivegate_checked::TableReader;
 
-fn fields(text: &str, read: impl FnOnce(&mut Reader)) -> Vec<(String, String)> {
-    let mut reader = Reader::parse(text).unwrap();
+fn fields(text: &str, read: impl FnOnce(&mut TableReader)) -> Vec<(String, String)> {
+    let mut reader = TableReader::parse(text).unwrap();
     read(&mut reader);
     let mistakes = reader.finish().unwrap_err().0;
     mistakes.into_iter().map(|mistake| (mistake.field, mistake.reason)).collect()
@@ -26,14 +26,14 @@
 
 #[test]
 fn syntax_errors_are_one_mistake() {
-    let mistakes = Reader::parse("a = = 1").unwrap_err();
+    let mistakes = TableReader::parse("a = = 1").unwrap_err();
     assert_eq!(mistakes.0.len(), 1);
     assert_eq!(mistakes.0[0].field, "(file)");
 }
 
 #[test]
 fn defaults_fill_absent_optional_fields() {
-    let mut reader = Reader::parse("").unwrap();
+    let mut reader = TableReader::parse("").unwrap();
     assert_eq!(reader.integer_or("wait", 5, 1..=9), 5);
     assert!(reader.boolean_or("on", true));
     assert_eq!(reader.finish(), Ok(()));
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// Now, since the machine's start, in time that stands still while the machine is suspended, as the
 /// runtime's timers do.
-pub fn awake() -> Moment {
+pub fn monotonic_now() -> Moment {
     moment_of(ClockId::Monotonic)
 }
 
--- a/crates/node/src/gate/dispatch.rs
+++ b/crates/node/src/gate/dispatch.rs
@@ -5,7 +5,7 @@
 
 use hyper::{HeaderMap, Method, Request, Response, Uri};
 use olivegate_bundle::{IndexedBundle, Kind};
-use olivegate_overload::{ClassKey, Demand};
+use olivegate_overload::{ClassKey, SlotRequest};
 use olivegate_types::{Moment, Refusal, RefusalReason, RequestContext, header};
 
 use crate::body::{AnyBody, GuardedBody};
@@ -110,7 +110,7 @@
     let arrived = clock::now();
     let unseen = Duration::from_millis(u64::from(call.kind.expected_ms));
     let expected = gate.expected(&call.kind.name, unseen, call.deadline.since(arrived));
-    let demand = Demand {
+    let demand = SlotRequest {
         importance: call.context.importance,
         group: call.context.group.clone(),
         weight: call.bundle.weight(&call.context.group),
--- a/crates/node/src/gate/slots.rs
+++ b/crates/node/src/gate/slots.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use olivegate_overload::{
-    AdaptiveLimit, Admission, Arrival, ClassKey, Demand, ExpectedTimes, GateLevels, InstanceQueue, Settings,
-    TicketId,
+    AdaptiveLimit, Admission, Arrival, ClassKey, ExpectedTimes, GateLevels, InstanceQueue, QueueSettings,
+    SlotRequest, TicketId,
 };
 use olivegate_types::{KindName, Moment, Refusal, RefusalReason};
 use tokio::sync::oneshot;
@@ -31,7 +31,7 @@
 
 impl QueueState {
     /// How an accepted demand counts for the admission level of its class.
-    fn accepted(&self, demand: &Demand, now: Moment) -> Arrival {
+    fn accepted(&self, demand: &SlotRequest, now: Moment) -> Arrival {
         if self.queue.has_free_slots() {
             return Arrival::Accepted { wait_ratio: 0.0 };
         }
@@ -41,7 +41,7 @@
 
     fn note(&mut self, class: &ClassKey, arrival: Arrival, now: Moment) {
         let has_free_slots = self.queue.has_free_slots();
-        self.levels.note(class, arrival, has_free_slots, now);
+        self.levels.record(class, arrival, has_free_slots, now);
     }
 }
 
@@ -77,7 +77,7 @@
 
 impl InstanceGate {
     /// The gate of the instance at `address` with `slots`.
-    pub fn new(address: SocketAddr, settings: Settings, slots: u32) -> Self {
+    pub fn new(address: SocketAddr, settings: QueueSettings, slots: u32) -> Self {
         let state = QueueState {
             queue: InstanceQueue::new(settings, AdaptiveLimit::new(slots, false)),
             waiters: HashMap::new(),
@@ -99,7 +99,7 @@
     }
 
     /// Follows a new bundle.
-    pub fn configure(&self, settings: Settings, slots: u32) {
+    pub fn configure(&self, settings: QueueSettings, slots: u32) {
         let mut state = lock(&self.state);
         state.max_wait = settings.max_wait;
         state.queue.configure(settings, slots);
@@ -136,7 +136,7 @@
         let mut state = lock(&self.state);
         let in_flight = state.queue.in_flight();
         state.queue.limit_mut().on_success(in_flight);
-        state.service_times.note(kind.as_str(), service, clock::now());
+        state.service_times.record(kind.as_str(), service, clock::now());
     }
 
     /// Notes that the instance refused before starting.
@@ -150,7 +150,7 @@
     }
 
     /// Waits for a slot, or is refused.
-    pub async fn acquire(self: &Arc<Self>, demand: Demand, class: &ClassKey) -> Result<Slot, Refusal> {
+    pub async fn acquire(self: &Arc<Self>, demand: SlotRequest, class: &ClassKey) -> Result<Slot, Refusal> {
         let now = clock::now();
         let (ticket, waiting) = match self.arrive(demand.clone(), class, now) {
             Ok(arrived) => arrived,
@@ -166,13 +166,13 @@
 
     fn arrive(
         &self,
-        demand: Demand,
+        demand: SlotRequest,
         class: &ClassKey,
         now: Moment,
     ) -> Result<(TicketId, Option<oneshot::Receiver<Grant>>), Refusal> {
         let mut state = lock(&self.state);
         let accepted = state.accepted(&demand, now);
-        let admission = state.queue.arrive(demand, now);
+        let admission = state.queue.submit(demand, now);
         let refused = matches!(admission, Admission::Refuse(_));
         state.note(class, if refused { Arrival::Refused } else { accepted }, now);
         match admission {
@@ -192,7 +192,7 @@
     async fn wait(
         &self,
         waiting: oneshot::Receiver<Grant>,
-        demand: &Demand,
+        demand: &SlotRequest,
         class: &ClassKey,
         arrived: Moment,
     ) -> Result<(), Refusal> {
@@ -213,7 +213,7 @@
 
     /// Point at which a waiting call gives up: it could no longer be answered in time,
     /// or, below the protected importance, its wait is longer than the objective allows.
-    fn wait_until(&self, demand: &Demand, arrived: Moment) -> Moment {
+    fn wait_until(&self, demand: &SlotRequest, arrived: Moment) -> Moment {
         let longest = lock(&self.state).queue.longest_wait(demand, arrived);
         let by_deadline = demand.deadline.saturating_sub(demand.expected);
         by_deadline.min(arrived + longest.mul_f64(WAIT_TOLERANCE))
--- a/crates/node/src/gate/table.rs
+++ b/crates/node/src/gate/table.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 
 use olivegate_bundle::Bundle;
-use olivegate_overload::Settings;
+use olivegate_overload::QueueSettings;
 use olivegate_types::{InstanceName, ServiceName};
 
 use crate::directory::Instance;
@@ -21,8 +21,8 @@
 }
 
 /// Queue settings that a bundle implies.
-fn queue_settings(bundle: &Bundle) -> Settings {
-    Settings { max_wait: bundle.objective.max_queue_wait(), waiting_per_slot: WAITING_PER_SLOT }
+fn queue_settings(bundle: &Bundle) -> QueueSettings {
+    QueueSettings { max_wait: bundle.objective.max_queue_wait(), waiting_per_slot: WAITING_PER_SLOT }
 }
 
 impl GateTable {
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use olivegate_bundle::SignOff;
-use olivegate_checked::{Mistakes, Reader, Table, Value};
+use olivegate_checked::{FieldErrors, Table, TableReader, Value};
 use olivegate_claims::majority;
 use olivegate_types::{DeploymentKey, NodeName, ZoneName};
 
@@ -96,13 +96,13 @@
 
 impl NodeSettings {
     /// Reads and checks settings text; `overrides` go before the file.
-    pub fn from_toml(text: &str, overrides: &Overrides) -> Result<Self, Mistakes> {
+    pub fn from_toml(text: &str, overrides: &Overrides) -> Result<Self, FieldErrors> {
         let mut table = parse(text)?;
         apply_overrides(&mut table, overrides);
-        let mut reader = Reader::from_table(table);
+        let mut reader = TableReader::from_table(table);
         let settings = read(&mut reader);
         reader.finish()?;
-        settings.ok_or_else(|| Mistakes(Vec::new()))
+        settings.ok_or_else(|| FieldErrors(Vec::new()))
     }
 
     /// The address to dial for an announced one.
@@ -112,8 +112,8 @@
     }
 }
 
-fn parse(text: &str) -> Result<Table, Mistakes> {
-    Reader::parse(text)?;
+fn parse(text: &str) -> Result<Table, FieldErrors> {
+    TableReader::parse(text)?;
     Ok(text.parse().unwrap_or_default())
 }
 
@@ -147,13 +147,13 @@
     }
 }
 
-fn read(reader: &mut Reader) -> Option<NodeSettings> {
+fn read(reader: &mut TableReader) -> Option<NodeSettings> {
     let deployment = reader.name("deployment");
     let node = NodeName::new(reader.name("node"));
     let zone = ZoneName::new(reader.name("zone"));
     let secret = reader.text("secret");
     if !secret.is_empty() && secret.len() < SHORTEST_SECRET {
-        reader.mistake("secret", format!("a secret has at least {SHORTEST_SECRET} characters"));
+        reader.add_error("secret", format!("a secret has at least {SHORTEST_SECRET} characters"));
     }
     let listen = reader.section("listen", read_listen);
     let sign_off = reader.section("sign_off", read_sign_off);
@@ -184,7 +184,7 @@
 
 const ADDRESS: &str = "an address such as 127.0.0.1:8080";
 
-fn read_listen(reader: &mut Reader) -> Option<ListenAddresses> {
+fn read_listen(reader: &mut TableReader) -> Option<ListenAddresses> {
     let caller = reader.parsed("caller", ADDRESS);
     let data = reader.parsed("data", ADDRESS);
     let control = reader.parsed("control", ADDRESS);
@@ -192,49 +192,49 @@
     Some(ListenAddresses { caller: caller?, data: data?, control: control?, admin: admin? })
 }
 
-fn read_platform(reader: &mut Reader) -> Option<PlatformAddresses> {
+fn read_platform(reader: &mut TableReader) -> Option<PlatformAddresses> {
     let configuration = reader.parsed("configuration", ADDRESS);
     let members = reader.parsed("members", ADDRESS);
     let poll = reader.millis_or("poll_ms", 500, 50..=60_000);
     Some(PlatformAddresses { configuration: configuration?, members: members?, poll })
 }
 
-fn read_sign_off(reader: &mut Reader) -> SignOff {
+fn read_sign_off(reader: &mut TableReader) -> SignOff {
     let texts = reader.texts("keys");
     let required = reader.integer("required", 1..=32) as usize;
     let keys: Vec<[u8; 32]> =
         texts.iter().filter_map(|text| hex::decode(text).ok().and_then(|bytes| bytes.try_into().ok())).collect();
     if keys.len() != texts.len() {
-        reader.mistake("keys", "a public key is 64 hexadecimal digits");
+        reader.add_error("keys", "a public key is 64 hexadecimal digits");
     } else if keys.len() < required {
-        reader.mistake("required", "more signatures are required than there are keys");
+        reader.add_error("required", "more signatures are required than there are keys");
     }
     SignOff { keys, required }
 }
 
-fn read_seeds(reader: &mut Reader) -> Vec<SocketAddr> {
+fn read_seeds(reader: &mut TableReader) -> Vec<SocketAddr> {
     let texts = reader.texts("seeds");
     let seeds: Vec<SocketAddr> = texts.iter().filter_map(|text| text.parse().ok()).collect();
     if seeds.len() != texts.len() {
-        reader.mistake("seeds", format!("expected {ADDRESS} in each place"));
+        reader.add_error("seeds", format!("expected {ADDRESS} in each place"));
     }
     seeds
 }
 
 /// Reads the seats. No zone may hold a majority of them: a zone that is cut off would
 /// otherwise be able to form a group of its own.
-fn read_claims(reader: &mut Reader) -> (Vec<ZoneName>, bool) {
+fn read_claims(reader: &mut TableReader) -> (Vec<ZoneName>, bool) {
     let zones: Vec<ZoneName> = reader.texts("seat_zones").iter().map(ZoneName::new).collect();
     let seats_of = |zone: &ZoneName| zones.iter().filter(|other| *other == zone).count();
     if zones.len() < 3 || zones.len().is_multiple_of(2) {
-        reader.mistake("seat_zones", "expected an odd number of zones, at least three");
+        reader.add_error("seat_zones", "expected an odd number of zones, at least three");
     } else if zones.iter().any(|zone| seats_of(zone) >= majority(zones.len())) {
-        reader.mistake("seat_zones", "one zone holds a majority of the seats");
+        reader.add_error("seat_zones", "one zone holds a majority of the seats");
     }
     (zones, reader.boolean_or("new_deployment", false))
 }
 
-fn read_reach(reader: &mut Reader) -> Option<ReachableAs> {
+fn read_reach(reader: &mut TableReader) -> Option<ReachableAs> {
     let announced = reader.parsed("announced", ADDRESS);
     let dial = reader.parsed("dial", ADDRESS);
     Some(ReachableAs { announced: announced?, dial: dial? })
--- a/crates/overload/src/admission/demand_levels.rs
+++ b/crates/overload/src/admission/demand_levels.rs
@@ -61,7 +61,7 @@
 
     /// Notes an arrival, refused or not, that asks for `slot_time` and whose root began with the
     /// part `admitted` of its class.
-    pub fn note(&mut self, class: &ClassKey, slot_time: Duration, admitted: f64, now: Moment) {
+    pub fn record(&mut self, class: &ClassKey, slot_time: Duration, admitted: f64, now: Moment) {
         let wanted = slot_time.as_secs_f64() / admitted.clamp(LEAST_ADMITTED, 1.0);
         match self.classes.get_mut(class) {
             Some(demand) => *demand = Demand { slot_seconds: demand.decayed(now) + wanted, at: now },
--- a/crates/overload/src/admission/gate_levels.rs
+++ b/crates/overload/src/admission/gate_levels.rs
@@ -63,7 +63,7 @@
 
 impl GateLevels {
     /// Notes an arrival; `has_free_slots` describes the instance at that time.
-    pub fn note(&mut self, class: &ClassKey, arrival: Arrival, has_free_slots: bool, now: Moment) {
+    pub fn record(&mut self, class: &ClassKey, arrival: Arrival, has_free_slots: bool, now: Moment) {
         let window = self.classes.entry(class.clone()).or_insert_with(|| ClassWindow {
             level: 1.0,
             accepted: 0,
--- a/crates/overload/src/admission/level_table.rs
+++ b/crates/overload/src/admission/level_table.rs
@@ -103,11 +103,11 @@
     /// The level in force for a class at calls from `hop` on, at most 1. Levels rise while no
     /// report confirms them.
     pub fn level(&self, class: &ClassKey, hop: u8, now: Moment) -> f64 {
-        self.room(class, hop, now).min(1.0)
+        self.headroom(class, hop, now).min(1.0)
     }
 
     /// The same for a gate that passes it on: above 1 where there is room for more.
-    pub fn room(&self, class: &ClassKey, hop: u8, now: Moment) -> f64 {
+    pub fn headroom(&self, class: &ClassKey, hop: u8, now: Moment) -> f64 {
         let learnt = self.levels.get(class).map(Vec::as_slice).unwrap_or_default();
         learnt
             .iter()
@@ -127,7 +127,7 @@
     }
 
     /// The level that binds each class, where it is below 1, in order of classes; for log lines.
-    pub fn binding(&self, now: Moment) -> Vec<BindingLevel> {
+    pub fn binding_levels(&self, now: Moment) -> Vec<BindingLevel> {
         let mut binding: Vec<BindingLevel> =
             self.levels.iter().filter_map(|(class, learnt)| self.binding_of(class, learnt, now)).collect();
         binding.sort_by(|left, right| left.class.cmp(&right.class));
@@ -150,6 +150,6 @@
 
     /// Levels below 1, for status.
     pub fn entries(&self, now: Moment) -> Vec<(ClassKey, f64)> {
-        self.binding(now).into_iter().map(|binding| (binding.class, binding.level)).collect()
+        self.binding_levels(now).into_iter().map(|binding| (binding.class, binding.level)).collect()
     }
 }
--- a/crates/overload/src/expected_times.rs
+++ b/crates/overload/src/expected_times.rs
@@ -41,14 +41,14 @@
 
 impl ExpectedTimes {
     /// The expected time of `route`; `unseen` where no request of it has ended yet.
-    pub fn of(&self, route: &str, unseen: Duration) -> Duration {
+    pub fn get(&self, route: &str, unseen: Duration) -> Duration {
         self.routes.get(route).map_or(unseen, |estimate| estimate.mean)
     }
 
     /// The expected time by which a request is judged that has `time_left`: of one that is let through as
     /// a trial, no more than half of that.
     pub fn for_request(&mut self, route: &str, unseen: Duration, time_left: Duration, now: Moment) -> Duration {
-        let expected = self.of(route, unseen);
+        let expected = self.get(route, unseen);
         if expected <= time_left {
             return expected;
         }
@@ -62,7 +62,7 @@
     }
 
     /// Notes that a request of `route` took `used`.
-    pub fn note(&mut self, route: &str, used: Duration, now: Moment) {
+    pub fn record(&mut self, route: &str, used: Duration, now: Moment) {
         let sampled = Estimate { mean: used, sampled: now, tried: now };
         let Some(estimate) = self.routes.get_mut(route) else {
             self.routes.insert(route.to_string(), sampled);
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -24,5 +24,5 @@
 pub use expected_times::ExpectedTimes;
 pub use limit::AdaptiveLimit;
 pub use pacer::Pacer;
-pub use pressure::{Pace, ProcessPressure};
-pub use queue::{Admission, Demand, InstanceQueue, Settings, TicketId};
+pub use pressure::{ProcessPace, ProcessPressure};
+pub use queue::{Admission, InstanceQueue, QueueSettings, SlotRequest, TicketId};
--- a/crates/overload/src/limit/mod.rs
+++ b/crates/overload/src/limit/mod.rs
@@ -10,7 +10,7 @@
 
 use olivegate_types::Moment;
 
-use crate::pressure::Pace;
+use crate::pressure::ProcessPace;
 
 /// Factor on a refusal by the instance.
 const REFUSAL_FACTOR: f64 = 0.85;
@@ -55,10 +55,10 @@
 
     /// Follows the pace of the gate's process, with `in_flight` calls in flight: an instance may
     /// have more slots than the process beside it can feed.
-    pub fn follow_pace(&mut self, pace: Pace, in_flight: u32) {
+    pub fn on_process_pace(&mut self, pace: ProcessPace, in_flight: u32) {
         match pace {
-            Pace::Late => self.process_bound = self.process_bound.min(f64::from(in_flight)) * LATE_FACTOR,
-            Pace::InTime => self.process_bound *= IN_TIME_FACTOR,
+            ProcessPace::Late => self.process_bound = self.process_bound.min(f64::from(in_flight)) * LATE_FACTOR,
+            ProcessPace::InTime => self.process_bound *= IN_TIME_FACTOR,
         }
         self.process_bound = self.process_bound.max(1.0);
         if self.process_bound > self.slots {
--- a/crates/overload/src/pacer.rs
+++ b/crates/overload/src/pacer.rs
@@ -39,7 +39,7 @@
 
 impl Pacer {
     /// Follows what the instance declares; `None` where it takes what comes.
-    pub fn declare(&mut self, rate: Option<DeclaredRate>, now: Moment) {
+    pub fn set_rate(&mut self, rate: Option<DeclaredRate>, now: Moment) {
         self.refill(now);
         let was_limited = self.rate.is_some();
         self.rate = rate;
@@ -71,13 +71,13 @@
     }
 
     /// Gives back the token of a request that was not sent.
-    pub fn give_back(&mut self, now: Moment) {
+    pub fn refund(&mut self, now: Moment) {
         self.refill(now);
         self.tokens = (self.tokens + 1.0).min(self.burst());
     }
 
     /// Counts what was sent beside the pace.
-    pub fn count(&mut self, now: Moment) {
+    pub fn debit(&mut self, now: Moment) {
         self.refill(now);
         self.tokens -= 1.0;
     }
@@ -91,7 +91,7 @@
 
     /// Time after which the caller of a request that had to be turned away may send another one here:
     /// such callers return one after the other, about as fast as requests are let through.
-    pub fn return_after(&mut self, now: Moment) -> Duration {
+    pub fn retry_after(&mut self, now: Moment) -> Duration {
         let Some(per_second) = self.requests_per_second() else { return Duration::ZERO };
         let spacing = Duration::from_secs_f64(1.0 / (per_second * RETURN_FACTOR));
         let earliest = now + self.wait_behind(0, now);
--- a/crates/overload/src/pressure.rs
+++ b/crates/overload/src/pressure.rs
@@ -22,7 +22,7 @@
 
 /// What a step says about the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pace {
+pub enum ProcessPace {
     /// It falls behind: begin less.
     Late,
     /// It keeps up: more may be begun.
@@ -45,14 +45,14 @@
 
 impl ProcessPressure {
     /// Part of the new requests that may begin, from just above 0 to 1.
-    pub fn part(&self) -> f64 {
+    pub fn admitted_fraction(&self) -> f64 {
         self.part
     }
 
     /// Notes that a timer fired this late. Says how the process fares at the end of each step.
     /// A step counts as late when its least lateness is: a single long pause, such as a frozen
     /// process, does not say that there is too much work.
-    pub fn on_lateness(&mut self, lateness: Duration, now: Moment) -> Option<Pace> {
+    pub fn on_lateness(&mut self, lateness: Duration, now: Moment) -> Option<ProcessPace> {
         self.least_lateness = self.least_lateness.min(lateness);
         if now.since(self.step_began) < STEP_INTERVAL {
             return None;
@@ -62,10 +62,10 @@
         self.least_lateness = Duration::MAX;
         if is_late {
             self.part = (self.part * FALL_FACTOR).max(LEAST_PART);
-            Some(Pace::Late)
+            Some(ProcessPace::Late)
         } else {
             self.part = (self.part * RISE_FACTOR).min(1.0);
-            Some(Pace::InTime)
+            Some(ProcessPace::InTime)
         }
     }
 }
--- a/crates/overload/src/queue/mod.rs
+++ b/crates/overload/src/queue/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::limit::AdaptiveLimit;
 use crate::pacer::Pacer;
-use crate::pressure::Pace;
+use crate::pressure::ProcessPace;
 use crate::retry_after::{retry_after, retry_after_wait};
 use load::{Class, ClassLoad};
 use share::Shares;
@@ -34,7 +34,7 @@
 
 /// A call that asks for a slot.
 #[derive(Debug, Clone)]
-pub struct Demand {
+pub struct SlotRequest {
     /// Importance of the root request.
     pub importance: Importance,
     /// Group of the caller.
@@ -53,9 +53,9 @@
     pub longest_wait: Option<Duration>,
 }
 
-/// Settings of a queue, from the bundle.
+/// QueueSettings of a queue, from the bundle.
 #[derive(Debug, Clone, Copy)]
-pub struct Settings {
+pub struct QueueSettings {
     /// Longest predicted wait below the protected importance.
     pub max_wait: Duration,
     /// Most demands waiting, as a multiple of the slots.
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone)]
 struct Waiting {
     ticket: TicketId,
-    demand: Demand,
+    demand: SlotRequest,
     since: Moment,
 }
 
@@ -98,7 +98,7 @@
 /// Slots, waiting demands and group shares of one instance.
 #[derive(Debug)]
 pub struct InstanceQueue {
-    settings: Settings,
+    settings: QueueSettings,
     limit: AdaptiveLimit,
     pacer: Pacer,
     waiting: Vec<Waiting>,
@@ -117,13 +117,13 @@
     }
 }
 
-fn class_of(demand: &Demand) -> Class {
+fn class_of(demand: &SlotRequest) -> Class {
     (demand.importance, demand.hop > 0)
 }
 
 impl InstanceQueue {
     /// An empty queue.
-    pub fn new(settings: Settings, limit: AdaptiveLimit) -> Self {
+    pub fn new(settings: QueueSettings, limit: AdaptiveLimit) -> Self {
         InstanceQueue {
             settings,
             limit,
@@ -140,13 +140,13 @@
 
     /// Keeps `share` of the slots for each class that waits behind a more important one, so
     /// that no class starves.
-    pub fn with_least_share(mut self, share: f64) -> Self {
+    pub fn with_min_share(mut self, share: f64) -> Self {
         self.least_share = share.clamp(0.0, 1.0);
         self
     }
 
     /// Follows a new bundle.
-    pub fn configure(&mut self, settings: Settings, slots: u32) {
+    pub fn configure(&mut self, settings: QueueSettings, slots: u32) {
         self.settings = settings;
         self.limit.set_slots(slots);
     }
@@ -180,16 +180,16 @@
     }
 
     /// Time until a waiting demand may start although none ends; `None` where nothing waits for that.
-    pub fn next_paced(&self, now: Moment) -> Option<Duration> {
+    pub fn time_to_next_token(&self, now: Moment) -> Option<Duration> {
         let waits_for_pace =
             self.pacer.rate().is_some() && !self.waiting.is_empty() && self.in_flight() < self.limit.current();
         waits_for_pace.then(|| self.pacer.wait_behind(0, now))
     }
 
     /// Follows the pace of the process that holds this queue.
-    pub fn follow_pace(&mut self, pace: Pace) {
+    pub fn on_process_pace(&mut self, pace: ProcessPace) {
         let in_flight = self.in_flight();
-        self.limit.follow_pace(pace, in_flight);
+        self.limit.on_process_pace(pace, in_flight);
     }
 
     /// Calls that hold a slot.
@@ -218,7 +218,7 @@
     }
 
     /// A demand arrives.
-    pub fn arrive(&mut self, demand: Demand, now: Moment) -> Admission {
+    pub fn submit(&mut self, demand: SlotRequest, now: Moment) -> Admission {
         let ticket = TicketId(self.next_ticket);
         self.next_ticket += 1;
         if demand.deadline <= now + demand.expected / 2 {
@@ -245,19 +245,19 @@
     }
 
     /// A refusal whose time to come back follows the depth of the queue.
-    pub fn refusal(&self, reason: RefusalReason, demand: &Demand) -> Refusal {
+    pub fn refusal(&self, reason: RefusalReason, demand: &SlotRequest) -> Refusal {
         let admitted = 1.0 / self.occupancy().max(1.0);
         Refusal::new(reason, retry_after(admitted, demand.rank.fraction()))
     }
 
     /// The refusal of a demand that has waited for as long as it may.
-    pub fn late_refusal(&self, demand: &Demand, now: Moment) -> Refusal {
+    pub fn timeout_refusal(&self, demand: &SlotRequest, now: Moment) -> Refusal {
         let is_paced = self.in_flight() < self.limit.current() && self.pacer.rate().is_some();
         if is_paced { self.paced_refusal(demand, now) } else { self.refusal(RefusalReason::QueueTimeout, demand) }
     }
 
     /// A refusal whose time to come back follows the rate that the instance declares.
-    fn paced_refusal(&self, demand: &Demand, now: Moment) -> Refusal {
+    fn paced_refusal(&self, demand: &SlotRequest, now: Moment) -> Refusal {
         let wait = self.pacer.wait_behind(self.waiting.len(), now);
         Refusal::new(RefusalReason::RateLimited, retry_after_wait(wait, demand.rank.fraction()))
     }
@@ -267,7 +267,7 @@
             || self.running.iter().any(|running| running.group == *group)
     }
 
-    fn start(&mut self, ticket: TicketId, demand: &Demand, now: Moment) {
+    fn start(&mut self, ticket: TicketId, demand: &SlotRequest, now: Moment) {
         self.load.note(class_of(demand), demand.expected, now);
         self.shares.charge(&demand.group, demand.expected, demand.weight);
         self.running.push(Running {
@@ -325,9 +325,9 @@
     }
 
     /// A call that held a slot ended without having been sent to the instance.
-    pub fn withdraw(&mut self, ticket: TicketId, now: Moment) {
+    pub fn finish_unsent(&mut self, ticket: TicketId, now: Moment) {
         self.finish(ticket, now);
-        self.pacer.give_back(now);
+        self.pacer.refund(now);
     }
 
     fn note_service(&mut self, used: Duration) {
@@ -347,7 +347,7 @@
     }
 
     /// Time that the longest waiting demand has waited.
-    pub fn longest_waited(&self, now: Moment) -> Duration {
+    pub fn oldest_wait(&self, now: Moment) -> Duration {
         self.waiting.iter().map(|other| now.since(other.since)).max().unwrap_or_default()
     }
 
--- a/crates/overload/src/queue/room.rs
+++ b/crates/overload/src/queue/room.rs
@@ -1,12 +1,12 @@
 //! Who gives way when the queue is full.
 
-use super::{Class, Demand, InstanceQueue, TicketId, Waiting, class_of};
+use super::{Class, InstanceQueue, SlotRequest, TicketId, Waiting, class_of};
 use olivegate_types::GroupName;
 
 impl InstanceQueue {
     /// Finds room in a full queue: at the cost of the last demand of the lowest class, or,
     /// within the demand's own class, of the group that waits with most for its weight.
-    pub(super) fn make_room(&mut self, demand: &Demand) -> Result<Option<TicketId>, ()> {
+    pub(super) fn make_room(&mut self, demand: &SlotRequest) -> Result<Option<TicketId>, ()> {
         let most = (self.settings.waiting_per_slot * self.limit.current()).max(1) as usize;
         if self.waiting.len() < most {
             return Ok(None);
@@ -24,7 +24,7 @@
 
     /// The last demand of the group that, in the class of `demand`, waits with more for
     /// its weight than the demand's group would.
-    fn last_of_greediest(&self, demand: &Demand) -> Option<usize> {
+    fn last_of_greediest(&self, demand: &SlotRequest) -> Option<usize> {
         let in_class = |other: &&Waiting| other.class() == class_of(demand);
         let mut groups: Vec<(&GroupName, f64)> = vec![(&demand.group, 1.0 / f64::from(demand.weight.max(1)))];
         for other in self.waiting.iter().filter(in_class) {
--- a/crates/overload/src/queue/wait.rs
+++ b/crates/overload/src/queue/wait.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{Demand, InstanceQueue, class_of};
+use super::{InstanceQueue, SlotRequest, class_of};
 use olivegate_types::{GroupName, Moment};
 
 /// A deeper hop may wait this much longer than a root request.
@@ -15,7 +15,7 @@
     /// Longest wait after which the demand may still be served: bound by its deadline,
     /// and below the protected importance by the objective, which is wider for deeper
     /// hops since work has been done for them.
-    pub fn longest_wait(&self, demand: &Demand, now: Moment) -> Duration {
+    pub fn longest_wait(&self, demand: &SlotRequest, now: Moment) -> Duration {
         let by_deadline = demand.deadline.since(now).saturating_sub(demand.expected);
         if let Some(longest) = demand.longest_wait {
             return by_deadline.min(longest);
@@ -30,11 +30,11 @@
     /// Wait predicted from the work in front of `demand`, served by the slots that
     /// higher classes have been leaving; at least as long as the demand's own group and
     /// class has been waiting already.
-    pub fn predicted_wait(&self, demand: &Demand, now: Moment) -> Duration {
+    pub fn predicted_wait(&self, demand: &SlotRequest, now: Moment) -> Duration {
         let mut ahead = Duration::ZERO;
         let mut own_group = Duration::ZERO;
         let mut same_class = Duration::ZERO;
-        let mut longest_waited = Duration::ZERO;
+        let mut oldest_wait = Duration::ZERO;
         let mut weights: Vec<(&GroupName, u32)> = vec![(&demand.group, demand.weight)];
         for other in &self.waiting {
             if other.class() > class_of(demand) {
@@ -43,7 +43,7 @@
                 same_class += other.demand.expected;
                 if other.demand.group == demand.group {
                     own_group += other.demand.expected;
-                    longest_waited = longest_waited.max(now.since(other.since));
+                    oldest_wait = oldest_wait.max(now.since(other.since));
                 } else if !weights.iter().any(|(group, _)| **group == other.demand.group) {
                     weights.push((&other.demand.group, other.demand.weight));
                 }
@@ -61,11 +61,11 @@
         } else {
             Duration::MAX
         };
-        in_order.min(in_own_share).max(longest_waited)
+        in_order.min(in_own_share).max(oldest_wait)
     }
 
     /// Time until the pace of the instance lets `demand` through, behind those that go before it.
-    pub(super) fn paced_wait(&self, demand: &Demand, now: Moment) -> Duration {
+    pub(super) fn paced_wait(&self, demand: &SlotRequest, now: Moment) -> Duration {
         let ahead = self.waiting.iter().filter(|other| other.class() >= class_of(demand)).count();
         self.pacer.wait_behind(ahead, now)
     }
--- a/crates/overload/tests/demand.rs
+++ b/crates/overload/tests/demand.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use olivegate_overload::{
-    AdaptiveLimit, Admission, ClassKey, Demand, DemandLevels, InstanceQueue, LevelTable, Settings, TicketId,
+    AdaptiveLimit, Admission, ClassKey, DemandLevels, InstanceQueue, LevelTable, QueueSettings, SlotRequest,
+    TicketId,
 };
 use olivegate_types::{GroupName, Importance, KindName, Moment, ServiceName, SheddingRank};
 use proptest::prelude::*;
@@ -39,7 +40,7 @@
             owed[index] += one.wanted * admitted * 0.01 / SLOT_TIME.as_secs_f64();
             while owed[index] >= 1.0 {
                 owed[index] -= 1.0;
-                levels.note(&one.class, SLOT_TIME, admitted, at(now));
+                levels.record(&one.class, SLOT_TIME, admitted, at(now));
             }
             told[index].push(levels.level(&one.class, slots, at(now)));
         }
@@ -98,7 +99,7 @@
         table.on_report(&class("r", 1), &ServiceName::new("deep"), 1, level, at(step * 20));
     }
     assert!(table.level(&class("r", 1), 0, at(800)) >= 1.0);
-    let mean = table.room(&class("r", 1), 0, at(800));
+    let mean = table.headroom(&class("r", 1), 0, at(800));
     assert!((1.0..1.25).contains(&mean), "{mean}");
 }
 
@@ -126,8 +127,8 @@
     }
 }
 
-fn demand(importance: u8) -> Demand {
-    Demand {
+fn demand(importance: u8) -> SlotRequest {
+    SlotRequest {
         importance: Importance(importance),
         group: GroupName::new("all"),
         weight: 1,
@@ -141,14 +142,14 @@
 
 /// Serves two classes that always wait, and returns how many of each were served.
 fn serve(share: f64) -> (usize, usize) {
-    let settings = Settings { max_wait: Duration::from_secs(60), waiting_per_slot: 40 };
-    let mut queue = InstanceQueue::new(settings, AdaptiveLimit::new(10, false)).with_least_share(share);
+    let settings = QueueSettings { max_wait: Duration::from_secs(60), waiting_per_slot: 40 };
+    let mut queue = InstanceQueue::new(settings, AdaptiveLimit::new(10, false)).with_min_share(share);
     let mut important: Vec<TicketId> = Vec::new();
     let (mut high, mut low) = (0, 0);
     let mut running = Vec::new();
     for number in 0..200_u8 {
         let importance = if number % 2 == 0 { 2 } else { 1 };
-        match queue.arrive(demand(importance), at(0)) {
+        match queue.submit(demand(importance), at(0)) {
             Admission::Dispatch(ticket) => running.push(ticket),
             Admission::Wait { ticket, .. } if importance == 2 => important.push(ticket),
             _ => {}
--- a/crates/overload/tests/fuzz.rs
+++ b/crates/overload/tests/fuzz.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use olivegate_overload::{AdaptiveLimit, Admission, Demand, InstanceQueue, Settings, TicketId};
+use olivegate_overload::{AdaptiveLimit, Admission, InstanceQueue, QueueSettings, SlotRequest, TicketId};
 use olivegate_types::{GroupName, Importance, Moment, SheddingRank};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -68,9 +68,9 @@
         }
     }
 
-    fn arrive(&mut self, demand: Demand) {
+    fn arrive(&mut self, demand: SlotRequest) {
         let class = (demand.importance, demand.hop > 0, demand.group.clone());
-        match self.queue.arrive(demand, self.now) {
+        match self.queue.submit(demand, self.now) {
             Admission::Dispatch(ticket) => self.running.push(ticket),
             Admission::Wait { ticket, displaced } => {
                 if let Some(displaced) = displaced {
@@ -94,7 +94,7 @@
     type Reference = Model;
 
     fn init_test((): &()) -> System {
-        let settings = Settings { max_wait: Duration::from_millis(80), waiting_per_slot: 3 };
+        let settings = QueueSettings { max_wait: Duration::from_millis(80), waiting_per_slot: 3 };
         System {
             queue: InstanceQueue::new(settings, AdaptiveLimit::new(SLOTS, false)),
             now: Moment::START,
@@ -105,7 +105,7 @@
 
     fn apply(mut system: System, (): &(), step: Step) -> System {
         match step {
-            Step::Arrive { importance, group, hop, rank, wait_ms } => system.arrive(Demand {
+            Step::Arrive { importance, group, hop, rank, wait_ms } => system.arrive(SlotRequest {
                 importance: Importance(importance),
                 group: GroupName::new(format!("group-{group}")),
                 weight: u32::from(group) + 1,
--- a/crates/overload/tests/levels.rs
+++ b/crates/overload/tests/levels.rs
@@ -19,12 +19,12 @@
 fn refusals_lower_the_level_and_free_slots_raise_it_within_half_a_second() {
     let mut levels = GateLevels::default();
     for millis in 0..500 {
-        levels.note(&class(), Arrival::Refused, false, at(millis));
+        levels.record(&class(), Arrival::Refused, false, at(millis));
     }
     let lowest = levels.level(&class());
     assert!(lowest < 0.05, "{lowest}");
     for millis in (500..1_100).step_by(10) {
-        levels.note(&class(), ACCEPTED, true, at(millis));
+        levels.record(&class(), ACCEPTED, true, at(millis));
     }
     assert_eq!(levels.level(&class()), 1.0);
 }
@@ -32,8 +32,8 @@
 #[test]
 fn one_refusal_among_few_arrivals_cuts_little() {
     let mut levels = GateLevels::default();
-    levels.note(&class(), ACCEPTED, false, at(0));
-    levels.note(&class(), Arrival::Refused, false, at(60));
+    levels.record(&class(), ACCEPTED, false, at(0));
+    levels.record(&class(), Arrival::Refused, false, at(60));
     assert!(levels.level(&class()) > 0.75);
 }
 
@@ -41,7 +41,7 @@
 fn long_waits_lower_the_level_before_anything_is_refused() {
     let mut levels = GateLevels::default();
     for millis in 0..400 {
-        levels.note(&class(), Arrival::Accepted { wait_ratio: 0.9 }, false, at(millis));
+        levels.record(&class(), Arrival::Accepted { wait_ratio: 0.9 }, false, at(millis));
     }
     assert!(levels.level(&class()) < 0.8);
 }
@@ -94,10 +94,10 @@
     let mut table = LevelTable::with_hold(Duration::from_millis(100));
     table.on_report(&class(), &ServiceName::new("catalogue"), 0, 0.9, at(0));
     table.on_report(&class(), &ServiceName::new("stockroom"), 1, 0.2, at(0));
-    let binding = table.binding(at(200));
+    let binding = table.binding_levels(at(200));
     let [lowest] = binding.as_slice() else { panic!("{binding:?}") };
     assert_eq!((lowest.service.as_str(), lowest.hop, lowest.held), ("stockroom", 1, 0.2));
     assert_eq!(lowest.age, Duration::from_millis(200));
     assert!((lowest.level - table.level(&class(), 0, at(200))).abs() < 1e-9);
-    assert!(table.binding(at(2_000)).is_empty(), "it has risen since");
+    assert!(table.binding_levels(at(2_000)).is_empty(), "it has risen since");
 }
--- a/crates/overload/tests/pacer.rs
+++ b/crates/overload/tests/pacer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use olivegate_overload::{
-    AdaptiveLimit, Admission, DeclaredRate, Demand, InstanceQueue, Pacer, RateError, Settings,
+    AdaptiveLimit, Admission, DeclaredRate, InstanceQueue, Pacer, QueueSettings, RateError, SlotRequest,
 };
 use olivegate_types::{GroupName, Importance, Moment, RefusalReason, SheddingRank};
 use proptest::prelude::*;
@@ -49,7 +49,7 @@
 #[test]
 fn those_who_wait_know_for_how_long() {
     let mut pacer = Pacer::default();
-    pacer.declare(Some(rate(2.0)), at(0));
+    pacer.set_rate(Some(rate(2.0)), at(0));
     assert_eq!(pacer.wait_behind(0, at(0)), Duration::from_millis(500));
     assert_eq!(pacer.wait_behind(19, at(0)), Duration::from_secs(10));
     assert!(!pacer.take(at(499)) && pacer.take(at(500)) && !pacer.take(at(501)));
@@ -59,7 +59,7 @@
 #[test]
 fn a_standstill_saves_nothing_up() {
     let mut pacer = Pacer::default();
-    pacer.declare(Some(rate(8.0)), at(0));
+    pacer.set_rate(Some(rate(8.0)), at(0));
     let let_through = (0..1_000).filter(|_| pacer.take(at(60_000))).count();
     assert_eq!(let_through, 4);
 }
@@ -67,17 +67,17 @@
 #[test]
 fn those_who_were_turned_away_return_one_after_the_other() {
     let mut pacer = Pacer::default();
-    pacer.declare(Some(rate(8.0)), at(0));
-    let returns: Vec<u128> = (0..8).map(|_| pacer.return_after(at(0)).as_millis()).collect();
+    pacer.set_rate(Some(rate(8.0)), at(0));
+    let returns: Vec<u128> = (0..8).map(|_| pacer.retry_after(at(0)).as_millis()).collect();
     assert_eq!(returns, [125, 225, 325, 425, 500, 500, 500, 500]);
 }
 
 #[test]
 fn a_demand_that_would_wait_too_long_for_the_pace_is_told_when_to_return() {
-    let settings = Settings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
+    let settings = QueueSettings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
     let mut queue = InstanceQueue::new(settings, AdaptiveLimit::new(10, false));
-    queue.pacer_mut().declare(Some(rate(2.0)), at(0));
-    let demand = Demand {
+    queue.pacer_mut().set_rate(Some(rate(2.0)), at(0));
+    let demand = SlotRequest {
         importance: Importance(1),
         group: GroupName::new("all"),
         weight: 1,
@@ -87,7 +87,7 @@
         expected: Duration::from_millis(20),
         longest_wait: Some(Duration::from_millis(400)),
     };
-    let Admission::Refuse(refusal) = queue.arrive(demand, at(0)) else { panic!("it waits in vain") };
+    let Admission::Refuse(refusal) = queue.submit(demand, at(0)) else { panic!("it waits in vain") };
     assert_eq!(refusal.reason, RefusalReason::RateLimited);
     assert!(refusal.retry_after.abs_diff(Duration::from_millis(500)) < Duration::from_millis(1));
 }
@@ -117,17 +117,17 @@
         let mut pacer = Pacer::default();
         let mut now = at(0);
         let mut largest: Vec<(Moment, f64)> = vec![(now, 40.0)];
-        pacer.declare(Some(rate(40.0)), now);
+        pacer.set_rate(Some(rate(40.0)), now);
         let mut taken: Vec<Moment> = Vec::new();
         for step in steps {
             match step {
                 Step::Declare(tenths) => {
-                    pacer.declare(Some(rate(f64::from(tenths) / 10.0)), now);
+                    pacer.set_rate(Some(rate(f64::from(tenths) / 10.0)), now);
                     largest.push((now, f64::from(tenths) / 10.0));
                 }
                 Step::Pass(millis) => now = now + Duration::from_millis(millis.into()),
                 Step::Take(most) => taken.extend((0..most).filter(|_| pacer.take(now)).map(|_| now)),
-                Step::GiveBack => if taken.pop().is_some() { pacer.give_back(now) },
+                Step::GiveBack => if taken.pop().is_some() { pacer.refund(now) },
             }
         }
         for begin in &taken {
--- a/crates/overload/tests/pressure.rs
+++ b/crates/overload/tests/pressure.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use olivegate_overload::pressure::{Pace, ProcessPressure};
-use olivegate_overload::{AdaptiveLimit, Admission, Demand, InstanceQueue, Settings};
+use olivegate_overload::pressure::{ProcessPace, ProcessPressure};
+use olivegate_overload::{AdaptiveLimit, Admission, InstanceQueue, QueueSettings, SlotRequest};
 use olivegate_types::{GroupName, Importance, Moment, SheddingRank};
 use rstest::rstest;
 
@@ -15,7 +15,7 @@
 }
 
 /// Samples every 20 ms from `from` to `to`.
-fn sample(pressure: &mut ProcessPressure, lateness: Duration, from: u64, to: u64) -> Vec<Pace> {
+fn sample(pressure: &mut ProcessPressure, lateness: Duration, from: u64, to: u64) -> Vec<ProcessPace> {
     (from..to).step_by(20).filter_map(|millis| pressure.on_lateness(lateness, at(millis))).collect()
 }
 
@@ -23,10 +23,10 @@
 fn a_process_that_stays_late_begins_less_and_then_all_again() {
     let mut pressure = ProcessPressure::default();
     let paces = sample(&mut pressure, LATE, 1_000, 3_000);
-    assert!(paces.iter().all(|pace| *pace == Pace::Late), "{paces:?}");
-    assert!(pressure.part() < 0.2, "{}", pressure.part());
+    assert!(paces.iter().all(|pace| *pace == ProcessPace::Late), "{paces:?}");
+    assert!(pressure.admitted_fraction() < 0.2, "{}", pressure.admitted_fraction());
     sample(&mut pressure, IN_TIME, 3_000, 8_000);
-    assert!((pressure.part() - 1.0).abs() < 1e-9, "{}", pressure.part());
+    assert!((pressure.admitted_fraction() - 1.0).abs() < 1e-9, "{}", pressure.admitted_fraction());
 }
 
 #[rstest]
@@ -36,11 +36,11 @@
         pressure.on_lateness(Duration::from_millis(900), at(second * 1_000 + 5));
         sample(&mut pressure, IN_TIME, second * 1_000 + 20, second * 1_000 + 900);
     }
-    assert!(pressure.part() > 0.99, "{}", pressure.part());
+    assert!(pressure.admitted_fraction() > 0.99, "{}", pressure.admitted_fraction());
 }
 
-fn demand() -> Demand {
-    Demand {
+fn demand() -> SlotRequest {
+    SlotRequest {
         importance: Importance(1),
         group: GroupName::new("all"),
         weight: 1,
@@ -54,16 +54,16 @@
 
 #[rstest]
 fn the_gate_lets_in_no_more_than_the_process_can_carry() {
-    let settings = Settings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
+    let settings = QueueSettings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
     let mut queue = InstanceQueue::new(settings, AdaptiveLimit::new(400, false));
     for _ in 0..100 {
-        assert!(matches!(queue.arrive(demand(), at(1_000)), Admission::Dispatch(_)));
+        assert!(matches!(queue.submit(demand(), at(1_000)), Admission::Dispatch(_)));
     }
-    queue.follow_pace(Pace::Late);
+    queue.on_process_pace(ProcessPace::Late);
     assert_eq!(queue.current_limit(), 85);
-    assert!(matches!(queue.arrive(demand(), at(1_000)), Admission::Refuse(_)));
+    assert!(matches!(queue.submit(demand(), at(1_000)), Admission::Refuse(_)));
     for _ in 0..40 {
-        queue.follow_pace(Pace::InTime);
+        queue.on_process_pace(ProcessPace::InTime);
     }
     assert_eq!(queue.current_limit(), 400);
 }
--- a/crates/overload/tests/queue.rs
+++ b/crates/overload/tests/queue.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use olivegate_overload::{AdaptiveLimit, Admission, Demand, InstanceQueue, Settings, TicketId};
+use olivegate_overload::{AdaptiveLimit, Admission, InstanceQueue, QueueSettings, SlotRequest, TicketId};
 use olivegate_types::{GroupName, Importance, Moment, RefusalReason, SheddingRank};
 use rstest::rstest;
 
-const SETTINGS: Settings = Settings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
+const SETTINGS: QueueSettings = QueueSettings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
@@ -16,8 +16,8 @@
     InstanceQueue::new(SETTINGS, AdaptiveLimit::new(slots, false))
 }
 
-fn demand(importance: u8, group: &str) -> Demand {
-    Demand {
+fn demand(importance: u8, group: &str) -> SlotRequest {
+    SlotRequest {
         importance: Importance(importance),
         group: GroupName::new(group),
         weight: 1,
@@ -39,17 +39,17 @@
 #[test]
 fn a_free_slot_is_given_at_once() {
     let mut queue = queue(2);
-    assert!(matches!(queue.arrive(demand(0, "a"), at(0)), Admission::Dispatch(_)));
+    assert!(matches!(queue.submit(demand(0, "a"), at(0)), Admission::Dispatch(_)));
     assert_eq!((queue.in_flight(), queue.waiting()), (1, 0));
 }
 
 #[test]
 fn importance_goes_before_arrival_and_deeper_hops_before_roots() {
     let mut queue = queue(1);
-    let running = ticket(queue.arrive(demand(1, "a"), at(0)));
-    let root = ticket(queue.arrive(demand(1, "a"), at(1)));
-    let deeper = ticket(queue.arrive(Demand { hop: 1, ..demand(1, "a") }, at(2)));
-    let important = ticket(queue.arrive(demand(3, "a"), at(3)));
+    let running = ticket(queue.submit(demand(1, "a"), at(0)));
+    let root = ticket(queue.submit(demand(1, "a"), at(1)));
+    let deeper = ticket(queue.submit(SlotRequest { hop: 1, ..demand(1, "a") }, at(2)));
+    let important = ticket(queue.submit(demand(3, "a"), at(3)));
     queue.finish(running, at(4));
     let mut order = Vec::new();
     while let Some(next) = queue.next(at(4)) {
@@ -68,9 +68,9 @@
 ) {
     let mut queue = queue(1);
     for _ in 0..4 {
-        queue.arrive(Demand { expected: Duration::from_millis(60), ..demand(3, "a") }, at(0));
+        queue.submit(SlotRequest { expected: Duration::from_millis(60), ..demand(3, "a") }, at(0));
     }
-    let reason = match queue.arrive(demand(importance, "a"), at(0)) {
+    let reason = match queue.submit(demand(importance, "a"), at(0)) {
         Admission::Refuse(refusal) => Some(refusal.reason),
         _ => None,
     };
@@ -80,41 +80,41 @@
 #[test]
 fn a_demand_that_cannot_be_answered_in_time_is_refused_at_once() {
     let mut queue = queue(4);
-    let late = Demand { deadline: at(5), ..demand(3, "a") };
-    let refused = queue.arrive(late, at(0));
+    let late = SlotRequest { deadline: at(5), ..demand(3, "a") };
+    let refused = queue.submit(late, at(0));
     assert!(matches!(refused, Admission::Refuse(refusal) if refusal.reason == RefusalReason::DeadlineExceeded));
 }
 
 #[test]
 fn a_full_queue_displaces_the_last_in_shedding_order() {
     let mut queue = queue(1);
-    queue.arrive(Demand { expected: Duration::from_millis(1), ..demand(0, "a") }, at(0));
+    queue.submit(SlotRequest { expected: Duration::from_millis(1), ..demand(0, "a") }, at(0));
     let mut waiting = Vec::new();
     for rank in [5, 9, 1, 3] {
-        let low = Demand { rank: SheddingRank(rank), expected: Duration::from_millis(1), ..demand(0, "a") };
-        waiting.push(ticket(queue.arrive(low, at(0))));
+        let low = SlotRequest { rank: SheddingRank(rank), expected: Duration::from_millis(1), ..demand(0, "a") };
+        waiting.push(ticket(queue.submit(low, at(0))));
     }
-    let admission = queue.arrive(demand(3, "a"), at(0));
+    let admission = queue.submit(demand(3, "a"), at(0));
     assert!(matches!(admission, Admission::Wait { displaced: Some(victim), .. } if victim == waiting[1]));
 }
 
 #[test]
 fn a_greedy_group_cannot_take_a_modest_group_s_place() {
     let mut queue = queue(1);
-    queue.arrive(demand(1, "greedy"), at(0));
+    queue.submit(demand(1, "greedy"), at(0));
     for _ in 0..3 {
-        queue.arrive(demand(1, "greedy"), at(0));
+        queue.submit(demand(1, "greedy"), at(0));
     }
-    let refused = queue.arrive(demand(1, "greedy"), at(1));
+    let refused = queue.submit(demand(1, "greedy"), at(1));
     assert!(matches!(refused, Admission::Wait { .. } | Admission::Refuse(_)));
-    let modest = queue.arrive(demand(1, "modest"), at(1));
+    let modest = queue.submit(demand(1, "modest"), at(1));
     assert!(matches!(modest, Admission::Wait { displaced: Some(_), .. }), "{modest:?}");
 }
 
 #[test]
 fn backlogged_groups_share_by_weight() {
     let mut queue = InstanceQueue::new(
-        Settings { max_wait: Duration::from_secs(60), waiting_per_slot: 40 },
+        QueueSettings { max_wait: Duration::from_secs(60), waiting_per_slot: 40 },
         AdaptiveLimit::new(1, false),
     );
     let mut owner = std::collections::HashMap::new();
@@ -123,8 +123,8 @@
     let mut running = None;
     for _ in 0..3_000 {
         for (group, weight) in [("heavy", 3), ("light", 1)] {
-            let demand = Demand { weight, deadline: now + Duration::from_secs(60), ..demand(1, group) };
-            match queue.arrive(demand, now) {
+            let demand = SlotRequest { weight, deadline: now + Duration::from_secs(60), ..demand(1, group) };
+            match queue.submit(demand, now) {
                 Admission::Dispatch(ticket) => {
                     owner.insert(ticket, group);
                     running = Some(ticket);
@@ -147,15 +147,15 @@
 fn unused_share_is_not_saved_up() {
     let mut queue = queue(1);
     for round in 0..50 {
-        let ticket = ticket(queue.arrive(demand(1, "busy"), at(round * 20)));
+        let ticket = ticket(queue.submit(demand(1, "busy"), at(round * 20)));
         queue.finish(ticket, at(round * 20 + 20));
     }
-    let running = ticket(queue.arrive(demand(1, "busy"), at(1_000 - 60)));
-    let late = Demand { deadline: at(5_000), ..demand(1, "late") };
-    let busy = Demand { deadline: at(5_000), ..demand(1, "busy") };
-    let first_late = ticket(queue.arrive(late.clone(), at(941)));
-    let first_busy = ticket(queue.arrive(busy, at(942)));
-    let second_late = ticket(queue.arrive(late, at(943)));
+    let running = ticket(queue.submit(demand(1, "busy"), at(1_000 - 60)));
+    let late = SlotRequest { deadline: at(5_000), ..demand(1, "late") };
+    let busy = SlotRequest { deadline: at(5_000), ..demand(1, "busy") };
+    let first_late = ticket(queue.submit(late.clone(), at(941)));
+    let first_busy = ticket(queue.submit(busy, at(942)));
+    let second_late = ticket(queue.submit(late, at(943)));
     queue.finish(running, at(960));
     let mut order = Vec::new();
     while let Some(next) = queue.next(at(960)) {
--- a/crates/routing/src/balance.rs
+++ b/crates/routing/src/balance.rs
@@ -74,9 +74,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Health {
     /// Time that requests spend in it, over their objective.
-    pub slowness: f64,
+    pub latency_ratio: f64,
     /// Fraction of exchanges without an answer.
-    pub failing: f64,
+    pub failure_rate: f64,
 }
 
 /// A gate's report as an edge remembers it.
@@ -107,8 +107,8 @@
     /// again.
     fn health_cost(&self, now: Moment) -> f64 {
         let faded = now.since(self.health_at).as_secs_f64() / HEALTH_FADES.as_secs_f64();
-        let slow = (self.health.slowness - SLOW_FROM).max(0.0) * SLOW_SLOPE;
-        (slow + self.health.failing * FAILING_SLOPE) * (1.0 - faded).max(0.0)
+        let slow = (self.health.latency_ratio - SLOW_FROM).max(0.0) * SLOW_SLOPE;
+        (slow + self.health.failure_rate * FAILING_SLOPE) * (1.0 - faded).max(0.0)
     }
 
     /// Cost of a gate that does not say that it lives.
@@ -119,10 +119,10 @@
 
     /// Cost of an instance that takes no more requests for now.
     fn away_cost(&self, now: Moment) -> f64 {
-        if self.is_away(now) { AWAY_COST } else { 0.0 }
+        if self.is_rate_limited(now) { AWAY_COST } else { 0.0 }
     }
 
-    fn is_away(&self, now: Moment) -> bool {
+    fn is_rate_limited(&self, now: Moment) -> bool {
         self.away_until.is_some_and(|until| now < until)
     }
 
@@ -236,14 +236,14 @@
     }
 
     /// Notes that the gate of `instance` asks to be offered nothing for `span`.
-    pub fn on_away(&mut self, instance: &InstanceName, span: Duration, now: Moment) {
+    pub fn on_rate_limited(&mut self, instance: &InstanceName, span: Duration, now: Moment) {
         let until = (!span.is_zero()).then(|| now + span);
         self.states.entry(instance.clone()).or_default().away_until = until;
     }
 
     /// True while the gate of `instance` is to be offered nothing, if there is another way.
-    pub fn is_away(&self, instance: &InstanceName, now: Moment) -> bool {
-        self.states.get(instance).is_some_and(|state| state.is_away(now))
+    pub fn is_rate_limited(&self, instance: &InstanceName, now: Moment) -> bool {
+        self.states.get(instance).is_some_and(|state| state.is_rate_limited(now))
     }
 
     /// Notes that the gate of `instance` should have said that it lives, and did not.
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -24,9 +24,9 @@
 }
 
 #[rstest]
-#[case::well(Health { slowness: 0.3, failing: 0.02 }, "near")]
-#[case::slow(Health { slowness: 1.5, failing: 0.0 }, "far")]
-#[case::failing(Health { slowness: 0.3, failing: 0.4 }, "far")]
+#[case::well(Health { latency_ratio: 0.3, failure_rate: 0.02 }, "near")]
+#[case::slow(Health { latency_ratio: 1.5, failure_rate: 0.0 }, "far")]
+#[case::failing(Health { latency_ratio: 0.3, failure_rate: 0.4 }, "far")]
 fn the_near_instance_is_left_only_when_it_fares_badly(#[case] health: Health, #[case] expected: &str) {
     let mut balancer = Balancer::default();
     balancer.on_health(&InstanceName::new("near"), health, at(1_000));
--- a/crates/sidecar/src/app.rs
+++ b/crates/sidecar/src/app.rs
@@ -194,7 +194,7 @@
     let mut suspension = SuspensionWatch::default();
     for round in 1_u32.. {
         interval.tick().await;
-        if let Some(suspended) = suspension.look(clock::now(), clock::awake()) {
+        if let Some(suspended) = suspension.look(clock::now(), clock::monotonic_now()) {
             log::warn!("event=suspended for_ms={}", suspended.as_millis());
             node.metrics.suspensions.inc();
         }
@@ -208,7 +208,7 @@
 
 /// Tells which levels hold requests back, and what moved them last.
 fn log_levels(node: &Node) {
-    for binding in node.levels.borrow().binding(clock::now()).iter().take(MOST_LEVELS_LOGGED) {
+    for binding in node.levels.borrow().binding_levels(clock::now()).iter().take(MOST_LEVELS_LOGGED) {
         log::info!(
             "event=level_low class={} importance={} level={:.2} service={} hop={} held={:.2} age_ms={}",
             binding.class.root_kind,
--- a/crates/sidecar/src/edge/admission.rs
+++ b/crates/sidecar/src/edge/admission.rs
@@ -26,7 +26,7 @@
     if node.is_full() {
         return Err(OwnAnswer::NotRun { reason: RefusalReason::PredictedWait, retry_after: FULL_RETRY_AFTER });
     }
-    let part = node.pressure.borrow().part();
+    let part = node.pressure.borrow().admitted_fraction();
     draw(node, part, RefusalReason::NodeOverloaded)?;
     let class = class_of(&route.name, importance_of(tenant_priority, route.priority));
     let level = node.levels.borrow().level(&class, 0, now);
--- a/crates/sidecar/src/edge/attempts.rs
+++ b/crates/sidecar/src/edge/attempts.rs
@@ -140,11 +140,11 @@
     /// The gate refused.
     pub fn on_refused(&mut self, refusal: Refusal) -> Next {
         self.note(refusal.reason.as_str());
-        let tells_more = self.refusal.is_none_or(|known| !known.reason.is_for_want_of_capacity());
-        if tells_more || refusal.reason.is_for_want_of_capacity() {
+        let tells_more = self.refusal.is_none_or(|known| !known.reason.is_capacity_shortage());
+        if tells_more || refusal.reason.is_capacity_shortage() {
             self.refusal = Some(refusal);
         }
-        self.full += u32::from(refusal.reason.is_for_want_of_capacity());
+        self.full += u32::from(refusal.reason.is_capacity_shortage());
         let is_denied = matches!(refusal.reason, RefusalReason::RepeatBudget | RefusalReason::SuspectWaits);
         self.denied += u32::from(is_denied);
         if matches!(refusal.reason, RefusalReason::AdmissionLevel | RefusalReason::Quarantined) {
--- a/crates/sidecar/src/edge/dispatch.rs
+++ b/crates/sidecar/src/edge/dispatch.rs
@@ -262,7 +262,9 @@
     fn has_open_alternative(&self, attempts: &Attempts, now: Moment) -> bool {
         let instances = self.node.knowledge.borrow().directory.ready_instances(&self.service);
         let balancer = self.node.balancer.borrow();
-        instances.iter().any(|other| attempts.may_go_to(&other.name) && !balancer.is_away(&other.name, now))
+        instances
+            .iter()
+            .any(|other| attempts.may_go_to(&other.name) && !balancer.is_rate_limited(&other.name, now))
     }
 
     /// True when each instance of the service declares a rate: together these are all that there is.
@@ -297,9 +299,9 @@
         }
         let mut balancer = self.node.balancer.borrow_mut();
         balancer.on_report(name, f64::from(load.occupancy), now);
-        let health = Health { slowness: f64::from(load.slowness), failing: f64::from(load.failing) };
+        let health = Health { latency_ratio: f64::from(load.slowness), failure_rate: f64::from(load.failing) };
         balancer.on_health(name, health, now);
-        balancer.on_away(name, report.return_after.duration(), now);
+        balancer.on_rate_limited(name, report.return_after.duration(), now);
         drop(balancer);
         self.node.declared_rates.borrow_mut().note(name, report.declared);
         // What one instance lacks is no lack of the service, as long as others take what comes.
--- a/crates/sidecar/src/edge/own_answer.rs
+++ b/crates/sidecar/src/edge/own_answer.rs
@@ -77,9 +77,9 @@
 
     /// True when the request was not served because there was no room for it. Where no
     /// instance is left at all, letting fewer requests begin helps nobody.
-    pub fn is_for_want_of_capacity(self) -> bool {
+    pub fn is_capacity_shortage(self) -> bool {
         let OwnAnswer::NotRun { reason, .. } = self else { return false };
-        reason.is_for_want_of_capacity()
+        reason.is_capacity_shortage()
     }
 
     /// The answer itself.
@@ -95,7 +95,7 @@
             fields.add("WWW-Authenticate", "ApiKey");
         }
         fields.add("Content-Type", "text/plain");
-        let fault = if self.is_for_want_of_capacity() { AnswerFault::Capacity } else { AnswerFault::None };
+        let fault = if self.is_capacity_shortage() { AnswerFault::Capacity } else { AnswerFault::None };
         let body = format!("{}\n", self.reason());
         let head = ResponseHead { status: self.status(), minor_version: 1, fields };
         Answer { head, body: Body::Whole(body.into()), fault }
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -46,7 +46,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use olivegate_overload::{ClassKey, Demand, Pace};
+use olivegate_overload::{ClassKey, ProcessPace, SlotRequest};
 use olivegate_types::{GroupName, InstanceName, Moment, Refusal, RefusalReason};
 
 use crate::directory::Standing;
@@ -119,8 +119,8 @@
     }
 
     /// Follows the pace of this process, which has to feed the instances.
-    pub fn follow_pace(&self, pace: Pace) {
-        self.instances.borrow().values().for_each(|slots| slots.follow_pace(pace));
+    pub fn on_process_pace(&self, pace: ProcessPace) {
+        self.instances.borrow().values().for_each(|slots| slots.on_process_pace(pace));
     }
 
     /// Queue and limit of one instance, for log lines.
@@ -150,7 +150,7 @@
         let class = root.class();
         let slots = self.instances.borrow().get(name).cloned();
         let mut load = slots.map(|slots| self.load_of(node, name, &slots, &class)).unwrap_or_default();
-        let deeper = node.levels.borrow().room(&class, hop.saturating_add(1), clock::now());
+        let deeper = node.levels.borrow().headroom(&class, hop.saturating_add(1), clock::now());
         load.level = load.level.min(deeper as f32);
         if node.stop.is_stopping() {
             load.occupancy += STOPPING_OCCUPANCY;
@@ -314,8 +314,8 @@
     }
 }
 
-fn demand_of(offer: &Offer, slots: &InstanceSlots, deadline: Moment) -> Demand {
-    Demand {
+fn demand_of(offer: &Offer, slots: &InstanceSlots, deadline: Moment) -> SlotRequest {
+    SlotRequest {
         importance: offer.root.importance,
         group: GroupName::new(ONE_GROUP),
         weight: 1,
--- a/crates/sidecar/src/gate/shedding.rs
+++ b/crates/sidecar/src/gate/shedding.rs
@@ -75,7 +75,7 @@
         }
         // Sent until it is taken: one repeat for each time that it is shed.
         let repeats = Duration::from_secs_f64(part / (1.0 - part).max(0.01));
-        self.needed.borrow_mut().note(
+        self.needed.borrow_mut().record(
             &by_route(&offer.root.class()),
             repeats,
             f64::from(offer.root.admitted),
--- a/crates/sidecar/src/gate/slot.rs
+++ b/crates/sidecar/src/gate/slot.rs
@@ -66,7 +66,7 @@
     }
 
     fn note_time(&self, offer: &Offer, used: Duration) {
-        self.slots.expected.borrow_mut().note(&offer.route, used, clock::now());
+        self.slots.expected.borrow_mut().record(&offer.route, used, clock::now());
         let target = f64::from(offer.target_latency_ms.max(1)) / 1_000.0;
         let mut slowness = self.slots.slowness.borrow_mut();
         *slowness = *slowness * (1.0 - SAMPLE_WEIGHT) + used.as_secs_f64() / target * SAMPLE_WEIGHT;
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use olivegate_overload::{
-    AdaptiveLimit, Admission, ClassKey, Demand, DemandLevels, ExpectedTimes, InstanceQueue, Pace, RateError,
-    Settings, TicketId,
+    AdaptiveLimit, Admission, ClassKey, DemandLevels, ExpectedTimes, InstanceQueue, ProcessPace, QueueSettings,
+    RateError, SlotRequest, TicketId,
 };
 use olivegate_types::{InstanceName, Moment, Refusal, RefusalReason};
 use tokio::sync::oneshot;
@@ -41,7 +41,7 @@
 /// then a single one does otherwise.
 const CLOSES_OF_LEAVING: u32 = 3;
 /// Bounds of the queue; each demand brings its own longest wait.
-const QUEUE: Settings = Settings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
+const QUEUE: QueueSettings = QueueSettings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
 
 /// Queue, limit and connections of one instance.
 pub struct InstanceSlots {
@@ -93,7 +93,7 @@
         InstanceSlots {
             queue: RefCell::new(
                 InstanceQueue::new(QUEUE, AdaptiveLimit::new(used_slots(slots), false))
-                    .with_least_share(LEAST_SHARE),
+                    .with_min_share(LEAST_SHARE),
             ),
             waiting: RefCell::default(),
             expected: RefCell::default(),
@@ -136,8 +136,8 @@
     }
 
     /// Follows the pace of this process.
-    pub fn follow_pace(&self, pace: Pace) {
-        self.queue.borrow_mut().follow_pace(pace);
+    pub fn on_process_pace(&self, pace: ProcessPace) {
+        self.queue.borrow_mut().on_process_pace(pace);
     }
 
     /// Requests that may be in the instance at a time.
@@ -178,7 +178,7 @@
 
     /// Counts the question who is there in the pace of the instance.
     pub fn count_question(&self) {
-        self.queue.borrow_mut().pacer_mut().count(clock::now());
+        self.queue.borrow_mut().pacer_mut().debit(clock::now());
     }
 
     /// Notes what an edge was told of the rate that the instance takes.
@@ -191,7 +191,7 @@
 
     fn follow_rate(self: &Rc<Self>, change: Option<RateChange>) -> RateNews {
         let Some(change) = change else { return RateNews::None };
-        self.queue.borrow_mut().pacer_mut().declare(change.now, clock::now());
+        self.queue.borrow_mut().pacer_mut().set_rate(change.now, clock::now());
         self.serve_waiting();
         RateNews::Changed(change)
     }
@@ -258,7 +258,7 @@
     fn return_after(&self, now: Moment) -> Duration {
         let mut queue = self.queue.borrow_mut();
         let pacer = queue.pacer_mut();
-        if pacer.wait_behind(0, now).is_zero() { Duration::ZERO } else { pacer.return_after(now) }
+        if pacer.wait_behind(0, now).is_zero() { Duration::ZERO } else { pacer.retry_after(now) }
     }
 
     /// Queue and limit, for log lines.
@@ -269,7 +269,7 @@
 
     /// Expected time of an offer in the instance.
     pub fn expected(&self, offer: &Offer) -> Duration {
-        self.expected.borrow().of(&offer.route, unseen_time(offer))
+        self.expected.borrow().get(&offer.route, unseen_time(offer))
     }
 
     /// Expected time of an offer in the instance, as it is judged by with this time left: now and then one
@@ -282,15 +282,15 @@
     pub fn note_demand(&self, offer: &Offer, now: Moment) {
         // No request takes longer than the time that it has left.
         let slot_time = self.expected(offer).min(Duration::from_millis(u64::from(offer.time_left_ms)));
-        self.demand.borrow_mut().note(&offer.root.class(), slot_time, f64::from(offer.root.admitted), now);
+        self.demand.borrow_mut().record(&offer.root.class(), slot_time, f64::from(offer.root.admitted), now);
         self.sheds.note_demand(offer, now);
     }
 
     /// Waits for a slot. Dropping the future gives the place up.
-    pub async fn acquire(self: &Rc<Self>, demand: Demand) -> Result<Slot, Refusal> {
+    pub async fn acquire(self: &Rc<Self>, demand: SlotRequest) -> Result<Slot, Refusal> {
         let now = clock::now();
         let longest = self.queue.borrow().longest_wait(&demand, now);
-        let admission = self.queue.borrow_mut().arrive(demand.clone(), now);
+        let admission = self.queue.borrow_mut().submit(demand.clone(), now);
         match admission {
             Admission::Dispatch(ticket) => Ok(Slot { slots: self.clone(), ticket, is_sent: false }),
             Admission::Refuse(refusal) => Err(refusal),
@@ -304,7 +304,7 @@
         }
     }
 
-    fn displace(&self, ticket: TicketId, by: &Demand) {
+    fn displace(&self, ticket: TicketId, by: &SlotRequest) {
         let refusal = self.queue.borrow().refusal(RefusalReason::Displaced, by);
         if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
             // A request that was given up meanwhile needs no answer.
@@ -312,7 +312,12 @@
         }
     }
 
-    async fn wait(self: &Rc<Self>, ticket: TicketId, demand: &Demand, longest: Duration) -> Result<Slot, Refusal> {
+    async fn wait(
+        self: &Rc<Self>,
+        ticket: TicketId,
+        demand: &SlotRequest,
+        longest: Duration,
+    ) -> Result<Slot, Refusal> {
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
         let mut place = Place { slots: self.clone(), ticket, served: false };
@@ -322,7 +327,7 @@
                 Ok(Slot { slots: self.clone(), ticket, is_sent: false })
             }
             Ok(Ok(Err(refusal))) => Err(refusal),
-            Ok(Err(_)) | Err(_) => Err(self.queue.borrow().late_refusal(demand, clock::now())),
+            Ok(Err(_)) | Err(_) => Err(self.queue.borrow().timeout_refusal(demand, clock::now())),
         }
     }
 
@@ -332,7 +337,7 @@
         if is_sent {
             queue.finish(ticket, clock::now());
         } else {
-            queue.withdraw(ticket, clock::now());
+            queue.finish_unsent(ticket, clock::now());
         }
         drop(queue);
         self.serve_waiting();
@@ -346,7 +351,7 @@
             let waiting = self.waiting.borrow_mut().remove(&ticket);
             let taken = waiting.is_some_and(|waiting| waiting.send(Ok(())).is_ok());
             if !taken {
-                self.queue.borrow_mut().withdraw(ticket, clock::now());
+                self.queue.borrow_mut().finish_unsent(ticket, clock::now());
             }
         }
         self.wake_when_paced();
@@ -354,7 +359,7 @@
 
     /// Serves those that wait once the declared rate allows the next one.
     fn wake_when_paced(self: &Rc<Self>) {
-        let Some(wait) = self.queue.borrow().next_paced(clock::now()) else { return };
+        let Some(wait) = self.queue.borrow().time_to_next_token(clock::now()) else { return };
         if self.is_waking.replace(true) {
             return;
         }
--- a/crates/sidecar/src/lateness.rs
+++ b/crates/sidecar/src/lateness.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use olivegate_overload::Pace;
+use olivegate_overload::ProcessPace;
 use olivegate_types::Moment;
 use tokio::task::spawn_local;
 
@@ -31,12 +31,12 @@
 
 /// Has gate and edge follow what a sample says.
 fn note(node: &Node, lateness: Duration, now: Moment) {
-    let before = node.pressure.borrow().part();
+    let before = node.pressure.borrow().admitted_fraction();
     let Some(pace) = node.pressure.borrow_mut().on_lateness(lateness, now) else { return };
-    node.gate.follow_pace(pace);
-    let part = node.pressure.borrow().part();
+    node.gate.on_process_pace(pace);
+    let part = node.pressure.borrow().admitted_fraction();
     let began_or_ended = (before < 1.0) != (part < 1.0);
-    if pace == Pace::Late || began_or_ended {
+    if pace == ProcessPace::Late || began_or_ended {
         log::info!("event=process_pace pace={pace:?} part={part:.2} lateness_ms={}", lateness.as_millis());
     }
 }
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use olivegate_checked::{Mistakes, Reader};
+use olivegate_checked::{FieldErrors, TableReader};
 use olivegate_quarantine::QuarantinePolicy;
 use olivegate_quota::Tolerance;
 use olivegate_types::{NodeName, ServiceName, ZoneName};
@@ -119,11 +119,11 @@
 
 impl SidecarSettings {
     /// Reads and checks settings text.
-    pub fn from_toml(text: &str) -> Result<Self, Mistakes> {
-        let mut reader = Reader::parse(text)?;
+    pub fn from_toml(text: &str) -> Result<Self, FieldErrors> {
+        let mut reader = TableReader::parse(text)?;
         let settings = read(&mut reader);
         reader.finish()?;
-        settings.ok_or_else(|| Mistakes(Vec::new()))
+        settings.ok_or_else(|| FieldErrors(Vec::new()))
     }
 
     /// Own address, by which other nodes and the instance know this machine.
@@ -142,7 +142,7 @@
     }
 }
 
-fn read(reader: &mut Reader) -> Option<SidecarSettings> {
+fn read(reader: &mut TableReader) -> Option<SidecarSettings> {
     let node = NodeName::new(reader.name("node"));
     let zone = ZoneName::new(reader.name("zone"));
     let service = ServiceName::new(reader.name("service"));
@@ -170,7 +170,7 @@
     })
 }
 
-fn read_listen(reader: &mut Reader) -> Option<ListenAddresses> {
+fn read_listen(reader: &mut TableReader) -> Option<ListenAddresses> {
     let outbound = reader.parsed("outbound", ADDRESS);
     let inbound: Option<SocketAddr> = reader.parsed("inbound", ADDRESS);
     let readiness = reader.parsed("readiness", ADDRESS);
@@ -183,26 +183,26 @@
     Some(ListenAddresses { outbound: outbound?, inbound, advertised, readiness: readiness?, peers, metrics })
 }
 
-fn read_source(reader: &mut Reader) -> Option<(SocketAddr, Duration)> {
+fn read_source(reader: &mut TableReader) -> Option<(SocketAddr, Duration)> {
     let address = reader.parsed("address", ADDRESS);
     let heartbeat = read_millis(reader, "heartbeat_ms", 1_500.0);
     Some((address?, heartbeat))
 }
 
 /// A span of milliseconds, whole or not.
-fn read_millis(reader: &mut Reader, field: &str, default: f64) -> Duration {
+fn read_millis(reader: &mut TableReader, field: &str, default: f64) -> Duration {
     Duration::from_secs_f64(reader.number_or(field, default, 1.0..=3_600_000.0) / 1_000.0)
 }
 
 /// A span of seconds, whole or not.
-fn read_seconds(reader: &mut Reader, field: &str, default: f64) -> Duration {
+fn read_seconds(reader: &mut TableReader, field: &str, default: f64) -> Duration {
     Duration::from_secs_f64(reader.number_or(field, default, 0.001..=3_600.0))
 }
 
 /// Ends of instances that a limit may ask for at most.
 const MOST_ENDS: u64 = 8;
 
-fn read_quarantine(reader: &mut Reader) -> QuarantinePolicy {
+fn read_quarantine(reader: &mut TableReader) -> QuarantinePolicy {
     let default = QuarantinePolicy::default();
     let held_after = reader.integer_or("held_after_ends", u64::from(default.held_after), 1..=MOST_ENDS);
     let least = held_after.min(MOST_ENDS);
@@ -222,7 +222,7 @@
     }
 }
 
-fn read_bounds(reader: &mut Reader) -> Bounds {
+fn read_bounds(reader: &mut TableReader) -> Bounds {
     Bounds {
         contact: read_millis(reader, "contact_ms", 3_000.0),
         grace_period: read_seconds(reader, "grace_period_s", 10.0),
--- a/crates/sidecar/tests/decisions/suspension.rs
+++ b/crates/sidecar/tests/decisions/suspension.rs
@@ -38,7 +38,7 @@
 /// The process's own clock counts on while the machine is suspended; it is never behind the other.
 #[rstest]
 fn the_clock_of_ages_counts_suspensions() {
-    let awake = olivegate_clock::awake();
+    let awake = olivegate_clock::monotonic_now();
     let now = olivegate_clock::now();
     assert!(now >= awake);
     let until = now + Duration::from_secs(3);
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -145,7 +145,7 @@
     }
 
     /// True when there was no room for the request: where fewer requests begin, more end well.
-    pub fn is_for_want_of_capacity(self) -> bool {
+    pub fn is_capacity_shortage(self) -> bool {
         matches!(
             self,
             RefusalReason::PredictedWait
