--- a/crates/bench/src/soak/entries.rs
+++ b/crates/bench/src/soak/entries.rs
@@ -5,8 +5,8 @@
 
 use olivegate_platform_stand_in::records;
 use olivegate_sidecar::model::{
-    ClientLimits, Configuration, ConfigurationVersion, Instance as Entry, InstanceState, Millis, RepeatSafety,
-    Route, WeightedPart,
+    ClientLimits, Configuration, ConfigurationVersion, Instance as Entry, InstanceState, Millis, RetrySafety,
+    Route, WeightedService,
 };
 use olivegate_types::{InstanceName, ServiceName, ZoneName};
 
@@ -117,8 +117,8 @@
         name: format!("to-{service}{path_prefix}"),
         host: host.to_string(),
         path_prefix: path_prefix.to_string(),
-        parts: vec![WeightedPart { service: ServiceName::new(service), weight: 1 }],
-        safety: if is_repeatable { RepeatSafety::Safe } else { RepeatSafety::Unsafe },
+        services: vec![WeightedService { service: ServiceName::new(service), weight: 1 }],
+        safety: if is_repeatable { RetrySafety::Safe } else { RetrySafety::Unsafe },
         timeout: Some(Millis(1_500)),
         target_latency: Millis(800),
         priority: if is_repeatable { 2 } else { 0 },
--- a/crates/bench/src/soak/exchange.rs
+++ b/crates/bench/src/soak/exchange.rs
@@ -6,7 +6,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use futures::StreamExt;
 use olivegate_http1::{BodyLength, Fields, Frame, RequestHead, ResponseDecoder, ResponseHead};
-use olivegate_platform::VOCABULARY;
+use olivegate_platform::WIRE_NAMES;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -110,11 +110,11 @@
     async fn send(&mut self, request: &Request) -> std::io::Result<()> {
         let mut fields = Fields::default();
         fields.add("Host", request.host.clone());
-        fields.add(VOCABULARY.request_id, request.id.clone());
-        fields.add(VOCABULARY.time_left_ms, request.time.as_millis().to_string());
+        fields.add(WIRE_NAMES.request_id, request.id.clone());
+        fields.add(WIRE_NAMES.time_left_ms, request.time.as_millis().to_string());
         if let Some(key) = &request.key {
-            fields.add(VOCABULARY.credential, key.clone());
-            fields.add(VOCABULARY.tenant, FORGED_TENANT);
+            fields.add(WIRE_NAMES.credential, key.clone());
+            fields.add(WIRE_NAMES.tenant, FORGED_TENANT);
         }
         let (method, target) = (Bytes::from(request.method.clone()), Bytes::from(request.target.clone()));
         let head = RequestHead { method, target, minor_version: 1, fields };
@@ -146,8 +146,8 @@
 
 /// What a whole answer is for its request.
 fn end_of(request: &Request, head: &ResponseHead, body: &[u8]) -> CallEnd {
-    let own_id = head.fields.text(VOCABULARY.request_id) == Some(request.id.as_str());
-    let signed = head.fields.text(VOCABULARY.signature);
+    let own_id = head.fields.text(WIRE_NAMES.request_id) == Some(request.id.as_str());
+    let signed = head.fields.text(WIRE_NAMES.signature);
     let right_signature = signature(&request.id, head.status, body.len());
     let is_success = (200..300).contains(&head.status);
     match signed {
@@ -157,7 +157,7 @@
         Some(_) => CallEnd::InstanceFailed(head.status),
         None if is_success => CallEnd::WrongAnswer,
         None => {
-            let names_return = head.fields.get(VOCABULARY.retry_after).is_some();
+            let names_return = head.fields.get(WIRE_NAMES.retry_after).is_some();
             let lacks_instance = NO_INSTANCE_REASONS.contains(&body.trim_ascii());
             CallEnd::NodeFailed { status: head.status, names_return, lacks_instance }
         }
--- a/crates/bench/src/soak/instance.rs
+++ b/crates/bench/src/soak/instance.rs
@@ -9,7 +9,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use futures::StreamExt;
 use olivegate_http1::{BodyLength, Fields, Frame, RequestDecoder, RequestHead, ResponseHead};
-use olivegate_platform::VOCABULARY;
+use olivegate_platform::WIRE_NAMES;
 use olivegate_sidecar::model::Incarnation;
 use rand::RngExt;
 use tokio::io::AsyncWriteExt;
@@ -198,8 +198,8 @@
     body: &Bytes,
     answers: &mut OwnedWriteHalf,
 ) -> bool {
-    let id = head.fields.text(VOCABULARY.request_id).unwrap_or_default().to_string();
-    let expected = head.fields.text(VOCABULARY.expected_instance);
+    let id = head.fields.text(WIRE_NAMES.request_id).unwrap_or_default().to_string();
+    let expected = head.fields.text(WIRE_NAMES.expected_instance);
     let is_meant = expected.is_none_or(|expected| expected == instance.name);
     if !is_meant && head.path() != HEALTH_PATH {
         return write(answers, rejection(instance, 421, &id), Bytes::new()).await;
@@ -213,7 +213,7 @@
         std::future::pending::<()>().await;
     }
     let millis: u64 =
-        head.fields.text(VOCABULARY.time_left_ms).and_then(|text| text.parse().ok()).unwrap_or(1_000);
+        head.fields.text(WIRE_NAMES.time_left_ms).and_then(|text| text.parse().ok()).unwrap_or(1_000);
     let deadline = Instant::now() + Duration::from_millis(millis);
     let Some(_slot) = instance.slot().await else { return false };
     if Instant::now() >= deadline {
@@ -265,10 +265,10 @@
         machine: instance.machine,
         instance: instance.start_name(),
         service: instance.service.clone(),
-        caller: head.fields.text(VOCABULARY.caller_service).unwrap_or_default().to_string(),
+        caller: head.fields.text(WIRE_NAMES.caller_service).unwrap_or_default().to_string(),
         asked: format!("{method} {target}"),
-        tenant: head.fields.text(VOCABULARY.tenant).unwrap_or_default().to_string(),
-        shows_key: head.fields.get(VOCABULARY.credential).is_some(),
+        tenant: head.fields.text(WIRE_NAMES.tenant).unwrap_or_default().to_string(),
+        shows_key: head.fields.get(WIRE_NAMES.credential).is_some(),
         body_is_whole: *body == request_body(&method, &target, id),
         at_s: world.now_s(),
     };
@@ -307,23 +307,23 @@
 
 fn own_head(instance: &Instance, status: u16, id: &str) -> ResponseHead {
     let mut fields = Fields::default();
-    fields.add(VOCABULARY.request_id, id.to_string());
-    fields.add(VOCABULARY.instance, instance.name.clone());
+    fields.add(WIRE_NAMES.request_id, id.to_string());
+    fields.add(WIRE_NAMES.instance, instance.name.clone());
     if instance.is_leaving.get() {
         fields.add("Connection", "close");
     }
     if let Some(rate) = instance.named_rate.get() {
-        fields.add(VOCABULARY.declared_rate, rate.to_string());
+        fields.add(WIRE_NAMES.declared_rate, rate.to_string());
     }
     if instance.says_leaving.get() {
-        fields.add(VOCABULARY.leaving, "1");
+        fields.add(WIRE_NAMES.leaving, "1");
     }
     ResponseHead { status, minor_version: 1, fields }
 }
 
 fn rejection(instance: &Instance, status: u16, id: &str) -> ResponseHead {
     let mut head = own_head(instance, status, id);
-    head.fields.add(VOCABULARY.not_run, "1");
+    head.fields.add(WIRE_NAMES.not_run, "1");
     head
 }
 
@@ -337,7 +337,7 @@
     let bytes = endpoint_of(world, asked).map_or(0, |endpoint| endpoint.body_bytes);
     let body = if status == 200 { answer_body(id, bytes) } else { Bytes::from_static(b"failed") };
     let mut head = own_head(instance, status, id);
-    head.fields.add(VOCABULARY.signature, signature(id, status, body.len()));
+    head.fields.add(WIRE_NAMES.signature, signature(id, status, body.len()));
     (head, body)
 }
 
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -246,7 +246,7 @@
 async fn asks_ready(world: &World, machine: usize) -> bool {
     let place = &world.machines[machine];
     let Ok(mut stream) = TcpStream::connect(place.readiness).await else { return false };
-    let path = olivegate_platform::VOCABULARY.readiness_path;
+    let path = olivegate_platform::WIRE_NAMES.readiness_path;
     let question = format!("GET {path} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n\r\n", place.readiness);
     let mut answer = [0; 12];
     let asked = stream.write_all(question.as_bytes()).await.is_ok();
--- a/crates/olivegate/src/sidecar_command.rs
+++ b/crates/olivegate/src/sidecar_command.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 
 use log::LevelFilter;
-use olivegate_platform::{PlatformStore, VOCABULARY};
-use olivegate_sidecar::app::Ended;
+use olivegate_platform::{PlatformStore, WIRE_NAMES};
+use olivegate_sidecar::app::StopOutcome;
 use olivegate_sidecar::{SidecarApp, SidecarSettings};
 use simplelog::{ConfigBuilder, WriteLogger};
 
@@ -43,11 +43,11 @@
     let source = PlatformStore::new(settings.source);
     let path = file.to_path_buf();
     let read_again = Box::new(move || read_settings(&path).map_err(|error| error.to_string()));
-    let ended = SidecarApp::new(settings, VOCABULARY, source, read_again).run();
+    let ended = SidecarApp::new(settings, WIRE_NAMES, source, read_again).run();
     log::logger().flush();
     match ended {
-        Ok(Ended::Drained) => Ok(()),
-        Ok(Ended::CutOff) => Err(CommandError::CutOff),
+        Ok(StopOutcome::Drained) => Ok(()),
+        Ok(StopOutcome::CutOff) => Err(CommandError::CutOff),
         Err(error) => Err(CommandError::Node(error.to_string())),
     }
 }
--- a/crates/olivegate/tests/sidecar.rs
+++ b/crates/olivegate/tests/sidecar.rs
@@ -9,8 +9,8 @@
 
 use olivegate_platform_stand_in::{StandIn, records};
 use olivegate_sidecar::model::{
-    ClientLimits, Configuration, ConfigurationVersion, Incarnation, Instance, InstanceState, Millis, RepeatSafety,
-    Route, WeightedPart,
+    ClientLimits, Configuration, ConfigurationVersion, Incarnation, Instance, InstanceState, Millis, RetrySafety,
+    Route, WeightedService,
 };
 use olivegate_types::{InstanceName, ServiceName, ZoneName};
 use rstest::rstest;
@@ -45,8 +45,8 @@
                 name: "all".into(),
                 host: "shop".into(),
                 path_prefix: "/".into(),
-                parts: vec![WeightedPart { service: instance.service.clone(), weight: 1 }],
-                safety: RepeatSafety::Safe,
+                services: vec![WeightedService { service: instance.service.clone(), weight: 1 }],
+                safety: RetrySafety::Safe,
                 timeout: None,
                 target_latency: Millis(1_000),
                 priority: 0,
@@ -116,7 +116,7 @@
 
 fn readiness(ip: &str) -> String {
     let mut stream = TcpStream::connect(format!("{ip}:18402")).unwrap();
-    let path = olivegate_platform::VOCABULARY.readiness_path;
+    let path = olivegate_platform::WIRE_NAMES.readiness_path;
     write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -164,8 +164,8 @@
     while !readiness(SILENT_IP).starts_with("HTTP/1.1 200") {
         std::thread::sleep(Duration::from_millis(10));
     }
-    let vocabulary = olivegate_platform::VOCABULARY;
-    let (id, time) = (vocabulary.request_id, vocabulary.time_left_ms);
+    let wire_names = olivegate_platform::WIRE_NAMES;
+    let (id, time) = (wire_names.request_id, wire_names.time_left_ms);
     for number in 0..LEAVING_CLIENTS {
         let mut client = TcpStream::connect(format!("{SILENT_IP}:18404")).unwrap();
         write!(client, "GET / HTTP/1.1\r\nHost: shop\r\n{id}: r{number}\r\n{time}: 9000\r\n\r\n").unwrap();
--- a/crates/sidecar/src/app.rs
+++ b/crates/sidecar/src/app.rs
@@ -14,7 +14,7 @@
 use crate::source::Source;
 use crate::state::Node;
 use crate::suspension::SuspensionWatch;
-use crate::vocabulary::Vocabulary;
+use crate::wire_names::WireNames;
 use crate::{edge, follow, gate, peers, status_port, transport};
 use olivegate_clock as clock;
 
@@ -33,7 +33,7 @@
 
 /// How a node ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum StopOutcome {
     /// Nothing was cut off.
     Drained,
     /// Requests were cut off at the end of the grace period.
@@ -43,7 +43,7 @@
 /// A node that is ready to run.
 pub struct SidecarApp<S> {
     settings: SidecarSettings,
-    vocabulary: Vocabulary,
+    wire_names: WireNames,
     source: S,
     read_settings: ReadSettings,
 }
@@ -58,24 +58,24 @@
 
 impl<S: Source + 'static> SidecarApp<S> {
     /// A node with these settings that reads `source`; `read_settings` is asked on SIGHUP.
-    pub fn new(settings: SidecarSettings, vocabulary: Vocabulary, source: S, read_settings: ReadSettings) -> Self {
-        SidecarApp { settings, vocabulary, source, read_settings }
+    pub fn new(settings: SidecarSettings, wire_names: WireNames, source: S, read_settings: ReadSettings) -> Self {
+        SidecarApp { settings, wire_names, source, read_settings }
     }
 
     /// Runs until SIGTERM or SIGINT has been followed to its end.
-    pub fn run(self) -> Result<Ended, SidecarError> {
+    pub fn run(self) -> Result<StopOutcome, SidecarError> {
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(SidecarError::Runtime)?;
         // The outer future is polled whenever any local task is; it must be cheap.
-        let serving = async { spawn_local(self.serve()).await.unwrap_or(Ok(Ended::CutOff)) };
+        let serving = async { spawn_local(self.serve()).await.unwrap_or(Ok(StopOutcome::CutOff)) };
         LocalSet::new().block_on(&runtime, serving)
     }
 
-    async fn serve(self) -> Result<Ended, SidecarError> {
+    async fn serve(self) -> Result<StopOutcome, SidecarError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(SidecarError::Runtime)?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(SidecarError::Runtime)?;
         let mut hang_up = signal(SignalKind::hangup()).map_err(SidecarError::Runtime)?;
-        let node = start(self.settings, self.vocabulary, self.source).await?;
+        let node = start(self.settings, self.wire_names, self.source).await?;
         let mut look_again = tokio::time::interval(SETTINGS_INTERVAL);
         look_again.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -89,19 +89,19 @@
         log::info!("event=stop_begun in_flight={}", node.stop.in_flight());
         let drained = node.stop.run(node.settings().bounds.grace_period).await;
         log::info!("event=stopped drained={drained} in_flight={}", node.stop.in_flight());
-        Ok(if drained { Ended::Drained } else { Ended::CutOff })
+        Ok(if drained { StopOutcome::Drained } else { StopOutcome::CutOff })
     }
 }
 
 /// Starts a node's work on the present thread's local tasks and returns what they share.
 pub async fn start<S: Source + 'static>(
     settings: SidecarSettings,
-    vocabulary: Vocabulary,
+    wire_names: WireNames,
     source: S,
 ) -> Result<Rc<Node>, SidecarError> {
     let listeners = Listeners::bind(&settings).await?;
     log_start(&settings);
-    let node = Rc::new(Node::new(settings, vocabulary));
+    let node = Rc::new(Node::new(settings, wire_names));
     listeners.serve(&node);
     let source = Rc::new(source);
     spawn_local(follow::follow(node.clone(), source.clone()));
--- a/crates/sidecar/src/directory/belief.rs
+++ b/crates/sidecar/src/directory/belief.rs
@@ -9,7 +9,7 @@
 use olivegate_types::{InstanceName, Moment};
 
 use super::hold::{Hold, HoldReason, SourceHealth};
-use super::{Directory, Entry, MACHINE_MEMORY, Standing};
+use super::{Directory, Entry, InstanceStatus, MACHINE_MEMORY};
 use crate::model::{Incarnation, Instance, InstanceState, Revision};
 
 /// An attestation that lasts longer by this much is news.
@@ -100,7 +100,7 @@
     /// An instance was met on its own machine before the source lists it. It is believed for
     /// as long as that may take.
     pub fn observe(&mut self, instance: Instance, now: Moment) -> bool {
-        if self.standing(&instance.name) != Standing::Unknown {
+        if self.status(&instance.name) != InstanceStatus::Unknown {
             return false;
         }
         let hold =
@@ -183,7 +183,7 @@
     }
 
     /// An instance that is not listed was not found. True when anything changed.
-    pub fn drop_held(&mut self, name: &InstanceName, now: Moment) -> bool {
+    pub fn remove_unlisted(&mut self, name: &InstanceName, now: Moment) -> bool {
         let is_held = self.entries.get(name).is_some_and(|entry| entry.hold.is_some());
         is_held && self.note_gone(name, now)
     }
--- a/crates/sidecar/src/directory/leaving.rs
+++ b/crates/sidecar/src/directory/leaving.rs
@@ -38,7 +38,7 @@
     /// The start of an instance is told that was not before.
     pub(super) fn learn_start(&mut self, instance: &Instance) {
         let statement =
-            self.statements.get_mut(&instance.name).filter(|statement| !statement.incarnation.is_told());
+            self.statements.get_mut(&instance.name).filter(|statement| !statement.incarnation.is_known());
         if let Some(statement) = statement {
             statement.incarnation = instance.incarnation;
         }
--- a/crates/sidecar/src/directory/mod.rs
+++ b/crates/sidecar/src/directory/mod.rs
@@ -46,7 +46,7 @@
 
 /// What the directory says about one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum InstanceStatus {
     /// It takes requests.
     Ready,
     /// It takes no new requests.
@@ -141,23 +141,24 @@
     }
 
     /// What is known about one instance.
-    pub fn standing(&self, name: &InstanceName) -> Standing {
+    pub fn status(&self, name: &InstanceName) -> InstanceStatus {
         match self.entries.get(name) {
-            Some(entry) if self.is_leaving(&entry.instance) => Standing::Draining,
-            Some(entry) if entry.doubted_until.is_some() => Standing::Gone,
-            Some(_) => Standing::Ready,
-            None if self.gone.contains_key(name) => Standing::Gone,
-            None => Standing::Unknown,
+            Some(entry) if self.is_leaving(&entry.instance) => InstanceStatus::Draining,
+            Some(entry) if entry.doubted_until.is_some() => InstanceStatus::Gone,
+            Some(_) => InstanceStatus::Ready,
+            None if self.gone.contains_key(name) => InstanceStatus::Gone,
+            None => InstanceStatus::Unknown,
         }
     }
 
     /// True when the source or the instance itself says that it leaves.
     fn is_leaving(&self, instance: &Instance) -> bool {
-        instance.state == InstanceState::Draining || self.has_said_leaving(&instance.name, instance.incarnation)
+        instance.state == InstanceState::Draining
+            || self.has_announced_leaving(&instance.name, instance.incarnation)
     }
 
     /// True when this start of an instance, or a later one, has said that it leaves.
-    pub fn has_said_leaving(&self, name: &InstanceName, incarnation: Incarnation) -> bool {
+    pub fn has_announced_leaving(&self, name: &InstanceName, incarnation: Incarnation) -> bool {
         self.said_leaving.holds_for(name, incarnation)
     }
 
--- a/crates/sidecar/src/directory/prior.rs
+++ b/crates/sidecar/src/directory/prior.rs
@@ -48,7 +48,7 @@
             return Taken::AsListed;
         }
         let is_restored = listed.revision.epoch > self.epoch;
-        let is_same_start = told == known && told.is_told();
+        let is_same_start = told == known && told.is_known();
         let was_leaving = self.instance.state == InstanceState::Draining;
         if was_leaving && (is_restored || is_same_start) {
             return Taken::StillLeaving;
--- a/crates/sidecar/src/directory/update.rs
+++ b/crates/sidecar/src/directory/update.rs
@@ -7,7 +7,7 @@
 
 use super::hold::SourceHealth;
 use super::prior::{Prior, Taken};
-use super::{Directory, Entry, Standing, Tombstone};
+use super::{Directory, Entry, InstanceStatus, Tombstone};
 use crate::model::{Epoch, InstanceState, Revision};
 use crate::source::{Change, ListedInstance};
 
@@ -72,7 +72,7 @@
     pub fn apply_change(&mut self, change: &Change, now: Moment) -> bool {
         let changed = match change {
             Change::Instance(listed) => self.insert(listed, now),
-            Change::InstanceGone { name, revision } => {
+            Change::InstanceRemoved { name, revision } => {
                 let is_newer = self.entries.get(name).is_none_or(|entry| entry.revision < *revision);
                 is_newer && !self.is_attested(name) && self.remove(name, *revision, now)
             }
@@ -135,7 +135,7 @@
     /// An entry went missing: held for a while unless it was draining.
     pub(super) fn remove(&mut self, name: &InstanceName, revision: Revision, now: Moment) -> bool {
         match self.source.hold_of_missing(self.policy, revision, now) {
-            Some(hold) if self.standing(name) == Standing::Ready => self.hold(name, hold),
+            Some(hold) if self.status(name) == InstanceStatus::Ready => self.hold(name, hold),
             _ => self.forget(name, revision, now),
         }
     }
--- a/crates/sidecar/src/edge/admission.rs
+++ b/crates/sidecar/src/edge/admission.rs
@@ -23,7 +23,7 @@
     if node.stop.is_closing() {
         return Err(OwnAnswer::NotRun { reason: RefusalReason::NodeNotReady, retry_after: STOPPING_RETRY_AFTER });
     }
-    if node.is_full() {
+    if node.is_at_request_limit() {
         return Err(OwnAnswer::NotRun { reason: RefusalReason::PredictedWait, retry_after: FULL_RETRY_AFTER });
     }
     let part = node.pressure.borrow().admitted_fraction();
--- a/crates/sidecar/src/edge/answering.rs
+++ b/crates/sidecar/src/edge/answering.rs
@@ -30,7 +30,7 @@
 pub async fn answer(node: &Rc<Node>, taken: TakenRequest, connection: &Cell<ConnectionEvidence>) -> Answer {
     let arrived = clock::now();
     lateness::sample(node, arrived);
-    let id = taken.head.fields.get(node.vocabulary.request_id).cloned();
+    let id = taken.head.fields.get(node.wire_names.request_id).cloned();
     let shown_id = id.clone().unwrap_or_default();
     let mut outcome = Outcome::begin(arrived);
     let cancelling = CancelLog::begin(node, &shown_id, arrived);
@@ -47,7 +47,7 @@
         Err(own) => {
             outcome.count(node, own.reason(), elapsed);
             log_own_answer(node, &shown_id, &outcome, own, elapsed);
-            own.to_answer(&node.vocabulary, id.as_ref())
+            own.to_answer(&node.wire_names, id.as_ref())
         }
     };
     note_failed_call(node, &outcome, &answer);
@@ -75,11 +75,11 @@
         let reason = RefusalReason::NodeNotReady;
         return Err(OwnAnswer::NotRun { reason, retry_after: UNCONFIGURED_RETRY_AFTER });
     };
-    let request = request::check(&taken.head, &routes, &node.vocabulary)?;
+    let request = request::check(&taken.head, &routes, &node.wire_names)?;
     let route = request.route.clone();
     outcome.route = Some(route.clone());
     outcome.deadline = arrived + request.sender_time;
-    let key = taken.head.fields.get(node.vocabulary.credential).cloned();
+    let key = taken.head.fields.get(node.wire_names.credential).cloned();
     let arriving = Arriving {
         id: &request.id,
         route: &route.name,
@@ -123,13 +123,13 @@
     head.fields.remove_connection_fields();
     head.fields.remove("expect");
     let caller = node.settings().service.clone();
-    head.fields.set(node.vocabulary.caller_service, Bytes::copy_from_slice(caller.as_str().as_bytes()));
-    head.fields.remove(node.vocabulary.expected_instance);
-    head.fields.remove(node.vocabulary.time_left_ms);
-    head.fields.remove(node.vocabulary.credential);
-    head.fields.remove(node.vocabulary.tenant);
+    head.fields.set(node.wire_names.caller_service, Bytes::copy_from_slice(caller.as_str().as_bytes()));
+    head.fields.remove(node.wire_names.expected_instance);
+    head.fields.remove(node.wire_names.time_left_ms);
+    head.fields.remove(node.wire_names.credential);
+    head.fields.remove(node.wire_names.tenant);
     if let Some(tenant) = tenant {
-        head.fields.set(node.vocabulary.tenant, Bytes::copy_from_slice(tenant.name.as_str().as_bytes()));
+        head.fields.set(node.wire_names.tenant, Bytes::copy_from_slice(tenant.name.as_str().as_bytes()));
     }
     head
 }
--- a/crates/sidecar/src/edge/attempts.rs
+++ b/crates/sidecar/src/edge/attempts.rs
@@ -9,7 +9,7 @@
 
 use olivegate_types::{InstanceName, Refusal, RefusalReason};
 
-use crate::model::RepeatSafety;
+use crate::model::RetrySafety;
 use crate::reply::{Failure, FailureReason};
 
 /// Instances without room that a request is offered to at most. They are drawn among many and
@@ -48,7 +48,7 @@
 /// The attempts of one request.
 #[derive(Debug)]
 pub struct Attempts {
-    safety: RepeatSafety,
+    safety: RetrySafety,
     most_instances: u32,
     arrivals: u32,
     /// Instances that got the request, and those of which nobody can rule it out: a gate that fell
@@ -72,7 +72,7 @@
 
 impl Attempts {
     /// No attempt yet. At most `most_instances` may get the request.
-    pub fn new(safety: RepeatSafety, most_instances: u32) -> Self {
+    pub fn new(safety: RetrySafety, most_instances: u32) -> Self {
         Attempts {
             safety,
             most_instances: most_instances.max(1),
@@ -164,7 +164,7 @@
         if failure.arrived || failure.may_have_run {
             self.note_reached();
         }
-        if self.may_have_run && self.safety == RepeatSafety::Unsafe {
+        if self.may_have_run && self.safety == RetrySafety::Unsafe {
             return Next::GiveUp(Verdict::Unknown);
         }
         self.ended += usize::from(failure.reason == FailureReason::InstanceEnded);
@@ -180,7 +180,7 @@
         self.may_have_run = true;
         self.note_reached();
         self.note_shed(false);
-        if self.safety == RepeatSafety::Safe { self.next() } else { self.give_up() }
+        if self.safety == RetrySafety::Safe { self.next() } else { self.give_up() }
     }
 
     /// Notes whether the instance tried last refused the request unrun for want of room.
--- a/crates/sidecar/src/edge/connection.rs
+++ b/crates/sidecar/src/edge/connection.rs
@@ -28,7 +28,7 @@
 use crate::model::ClientLimits;
 use crate::reply::{Answer, Body, BodyBroken};
 use crate::state::Node;
-use crate::stop::InFlight;
+use crate::stop::InFlightGuard;
 
 /// Most requests of one connection that are read ahead.
 const READ_AHEAD: usize = 32;
@@ -41,7 +41,7 @@
     answer: Answer,
     client_keeps: bool,
     is_head: bool,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 struct Connection {
@@ -183,7 +183,7 @@
         self.input_ended |= !client_keeps && self.intake.is_idle();
         let node = self.node.clone();
         let evidence = self.evidence.clone();
-        let in_flight = node.stop.enter();
+        let in_flight = node.stop.track_request();
         self.pending.push_back(Box::pin(async move {
             let answer = answering::answer(&node, taken, &evidence).await;
             Ready { answer, client_keeps, is_head, _in_flight: in_flight }
@@ -205,8 +205,9 @@
     fn reject_with(&mut self, status: u16, reason: &'static str) {
         self.input_ended = true;
         self.intake = Intake::Idle;
-        let answer = OwnAnswer::Rejected { status, reason }.to_answer(&self.node.vocabulary, None);
-        let ready = Ready { answer, client_keeps: false, is_head: false, _in_flight: self.node.stop.enter() };
+        let answer = OwnAnswer::Rejected { status, reason }.to_answer(&self.node.wire_names, None);
+        let ready =
+            Ready { answer, client_keeps: false, is_head: false, _in_flight: self.node.stop.track_request() };
         self.pending.push_back(Box::pin(std::future::ready(ready)));
     }
 
--- a/crates/sidecar/src/edge/dispatch.rs
+++ b/crates/sidecar/src/edge/dispatch.rs
@@ -18,7 +18,7 @@
 use crate::gate;
 use crate::gate::confirmation::Confirmation;
 use crate::hop::{Offer, OfferedBody};
-use crate::model::{Instance, RepeatSafety};
+use crate::model::{Instance, RetrySafety};
 use crate::reply::{Answer, AnswerFault, Body, BodyStream, Failure, FailureReason, GateReply, Load};
 use crate::state::Node;
 use olivegate_clock as clock;
@@ -126,7 +126,7 @@
                 GateReply::Refused { refusal, successor } => {
                     self.follow_successor(&instance, successor);
                     if refusal.reason == RefusalReason::InstanceLeaving {
-                        self.drop_held(&instance);
+                        self.remove_unlisted(&instance);
                     }
                     attempts.on_refused(refusal)
                 }
@@ -137,7 +137,7 @@
                         self.fatal_runs.push((instance.start_name(), FatalRun { ended, began: offered }));
                     }
                     if failure.reason == FailureReason::GateLost {
-                        self.drop_held(&instance);
+                        self.remove_unlisted(&instance);
                     }
                     attempts.on_failed(failure)
                 }
@@ -158,7 +158,7 @@
     /// The instance for the next attempt; `None` when each was tried.
     fn choose(&self, attempts: &Attempts) -> Option<Rc<Instance>> {
         let settings = self.node.settings();
-        let instances = self.node.knowledge.borrow().directory.ready_instances(&self.service);
+        let instances = self.node.cluster.borrow().directory.ready_instances(&self.service);
         let untried: Vec<&Rc<Instance>> =
             instances.iter().filter(|instance| attempts.may_go_to(&instance.name)).collect();
         let candidates: Vec<Candidate> = untried
@@ -245,7 +245,7 @@
             ended: self.reported_ends(),
             inherited: self.lineage.inherited,
             declared: self.node.declared_rates.borrow().record_for(&instance.name),
-            needs_confirmation: is_remote && route.safety == RepeatSafety::Unsafe,
+            needs_confirmation: is_remote && route.safety == RetrySafety::Unsafe,
         }
     }
 
@@ -260,7 +260,7 @@
 
     /// True when another instance may be tried whose gate does not ask to be left alone.
     fn has_open_alternative(&self, attempts: &Attempts, now: Moment) -> bool {
-        let instances = self.node.knowledge.borrow().directory.ready_instances(&self.service);
+        let instances = self.node.cluster.borrow().directory.ready_instances(&self.service);
         let balancer = self.node.balancer.borrow();
         instances
             .iter()
@@ -269,7 +269,7 @@
 
     /// True when each instance of the service declares a rate: together these are all that there is.
     fn is_service_limited(&self) -> bool {
-        let instances = self.node.knowledge.borrow().directory.ready_instances(&self.service);
+        let instances = self.node.cluster.borrow().directory.ready_instances(&self.service);
         let rates = self.node.declared_rates.borrow();
         instances.iter().all(|instance| rates.rate_of(&instance.name).is_some())
     }
@@ -285,9 +285,9 @@
     }
 
     /// An instance that the source does not list was not found either.
-    fn drop_held(&self, instance: &Instance) {
+    fn remove_unlisted(&self, instance: &Instance) {
         let now = clock::now();
-        self.node.update_directory("gate", |directory| directory.drop_held(&instance.name, now));
+        self.node.update_directory("gate", |directory| directory.remove_unlisted(&instance.name, now));
     }
 
     fn note_load(&self, instance: &Instance, load: Load) {
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -36,7 +36,7 @@
 
 /// Takes connections of clients and of the instance until the process ends.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
-    let most = node.settings().machine.most_connections();
+    let most = node.settings().machine.max_connections();
     let serve = |stream, place| connection::serve(node.clone(), stream, place);
     transport::serve_connections("outbound", listener, most, serve).await;
 }
--- a/crates/sidecar/src/edge/outcome.rs
+++ b/crates/sidecar/src/edge/outcome.rs
@@ -8,7 +8,7 @@
 
 use crate::edge::own_answer::OwnAnswer;
 use crate::edge::request::CheckedRequest;
-use crate::event::{LineClass, shown};
+use crate::event::{LogClass, display_id};
 use crate::lineage::Origin;
 use crate::model::{Instance, Route};
 use crate::reply::{Answer, Failure};
@@ -62,8 +62,8 @@
 /// Logs an answer that the node gives itself.
 pub fn log_own_answer(node: &Node, id: &[u8], outcome: &Outcome, own: OwnAnswer, elapsed: Duration) {
     let class = match own {
-        OwnAnswer::NotRun { .. } | OwnAnswer::OverQuota { .. } | OwnAnswer::Rejected { .. } => LineClass::Refusal,
-        _ => LineClass::Failure,
+        OwnAnswer::NotRun { .. } | OwnAnswer::OverQuota { .. } | OwnAnswer::Rejected { .. } => LogClass::Refusal,
+        _ => LogClass::Failure,
     };
     if !node.may_log(class, id) {
         return;
@@ -71,7 +71,7 @@
     log::info!(
         "event=own_answer request={} route={} tenant={} origin={} status={} reason={} version={} proof_ms={} \
          after_ms={} attempts={:?}",
-        shown(id),
+        display_id(id),
         outcome.route_name(),
         outcome.tenant_name(),
         outcome.origin.as_str(),
@@ -91,14 +91,14 @@
 
 /// Logs to which instance a request is offered, and what decided it.
 pub fn log_offer(node: &Node, request: &CheckedRequest, instance: &Instance, deadline: Moment) {
-    if !node.may_log(LineClass::Routine, &request.id) {
+    if !node.may_log(LogClass::Routine, &request.id) {
         return;
     }
     let now = clock::now();
     let occupancy = node.balancer.borrow().reported(&instance.name, now);
     log::info!(
         "event=offered request={} route={} instance={} zone={} occupancy={:.2} report_age_ms={} left_ms={}",
-        shown(&request.id),
+        display_id(&request.id),
         request.route.name,
         instance.name,
         instance.zone,
@@ -110,12 +110,12 @@
 
 /// Logs an attempt that gave no answer.
 pub fn log_failed_attempt(node: &Node, request: &CheckedRequest, instance: &Instance, failure: Failure) {
-    if !node.may_log(LineClass::Failure, &request.id) {
+    if !node.may_log(LogClass::Failure, &request.id) {
         return;
     }
     log::info!(
         "event=attempt_failed request={} route={} instance={} reason={} may_have_run={}",
-        shown(&request.id),
+        display_id(&request.id),
         request.route.name,
         instance.name,
         failure.reason.as_str(),
@@ -145,20 +145,20 @@
 
 impl Drop for CancelLog<'_> {
     fn drop(&mut self) {
-        if !self.is_answered && self.node.may_log(LineClass::Routine, self.id) {
+        if !self.is_answered && self.node.may_log(LogClass::Routine, self.id) {
             let elapsed = clock::now().since(self.arrived);
-            log::info!("event=cancelled request={} after_ms={}", shown(self.id), elapsed.as_millis());
+            log::info!("event=cancelled request={} after_ms={}", display_id(self.id), elapsed.as_millis());
         }
     }
 }
 
 /// Logs an instance's answer: failures always, others for sampled requests.
 pub fn log_answer(node: &Node, id: &[u8], outcome: &Outcome, answer: &Answer, elapsed: Duration) {
-    let class = if answer.head.status < 500 { LineClass::Routine } else { LineClass::Failure };
+    let class = if answer.head.status < 500 { LogClass::Routine } else { LogClass::Failure };
     if node.may_log(class, id) {
         log::info!(
             "event=answered request={} route={} tenant={} origin={} status={} fault={} after_ms={} attempts={:?}",
-            shown(id),
+            display_id(id),
             outcome.route_name(),
             outcome.tenant_name(),
             outcome.origin.as_str(),
--- a/crates/sidecar/src/edge/own_answer.rs
+++ b/crates/sidecar/src/edge/own_answer.rs
@@ -8,7 +8,7 @@
 
 use crate::edge::attempts::Verdict;
 use crate::reply::{Answer, AnswerFault, Body};
-use crate::vocabulary::Vocabulary;
+use crate::wire_names::WireNames;
 
 /// Status of a request without a key that is known.
 pub const UNAUTHORIZED: u16 = 401;
@@ -83,13 +83,13 @@
     }
 
     /// The answer itself.
-    pub fn to_answer(self, vocabulary: &Vocabulary, request_id: Option<&Bytes>) -> Answer {
+    pub fn to_answer(self, wire_names: &WireNames, request_id: Option<&Bytes>) -> Answer {
         let mut fields = Fields::default();
         if let Some(id) = request_id {
-            fields.add(vocabulary.request_id, id.clone());
+            fields.add(wire_names.request_id, id.clone());
         }
         if let OwnAnswer::NotRun { retry_after, .. } | OwnAnswer::OverQuota { retry_after } = self {
-            fields.add(vocabulary.retry_after, format!("{:.2}", retry_after.as_secs_f64()));
+            fields.add(wire_names.retry_after, format!("{:.2}", retry_after.as_secs_f64()));
         }
         if self.status() == UNAUTHORIZED {
             fields.add("WWW-Authenticate", "ApiKey");
--- a/crates/sidecar/src/edge/request.rs
+++ b/crates/sidecar/src/edge/request.rs
@@ -9,7 +9,7 @@
 use crate::edge::own_answer::OwnAnswer;
 use crate::model::Route;
 use crate::routes::RouteTable;
-use crate::vocabulary::Vocabulary;
+use crate::wire_names::WireNames;
 
 /// Time that a request without one of its own may take.
 const DEFAULT_TIME: Duration = Duration::from_secs(30);
@@ -32,12 +32,12 @@
 pub fn check(
     head: &RequestHead,
     routes: &RouteTable,
-    vocabulary: &Vocabulary,
+    wire_names: &WireNames,
 ) -> Result<CheckedRequest, OwnAnswer> {
     let rejected = |status, reason| OwnAnswer::Rejected { status, reason };
     let host = head.host().ok_or(rejected(400, "host-missing"))?;
-    let id = head.fields.get(vocabulary.request_id).ok_or(rejected(400, "request-id-missing"))?;
-    let own_time = match head.fields.text(vocabulary.time_left_ms) {
+    let id = head.fields.get(wire_names.request_id).ok_or(rejected(400, "request-id-missing"))?;
+    let own_time = match head.fields.text(wire_names.time_left_ms) {
         Some(text) => text.trim().parse().map_err(|_| rejected(400, "time-left-malformed"))?,
         None => DEFAULT_TIME.as_millis() as u64,
     };
--- a/crates/sidecar/src/event.rs
+++ b/crates/sidecar/src/event.rs
@@ -15,7 +15,7 @@
 
 /// Classes of lines about requests, each with a budget of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LineClass {
+pub enum LogClass {
     /// A decision on the way of a sampled request.
     Routine,
     /// Something was refused; nothing is lost.
@@ -25,8 +25,7 @@
 }
 
 /// Budgets by class, in lines a second.
-const BUDGETS: [(LineClass, u32); 3] =
-    [(LineClass::Routine, 40), (LineClass::Refusal, 30), (LineClass::Failure, 50)];
+const BUDGETS: [(LogClass, u32); 3] = [(LogClass::Routine, 40), (LogClass::Refusal, 30), (LogClass::Failure, 50)];
 
 #[derive(Debug, Default)]
 struct Budget {
@@ -37,7 +36,7 @@
 
 /// Budgets of log lines about requests.
 #[derive(Debug, Default)]
-pub struct LineBudgets {
+pub struct LogBudgets {
     budgets: [Budget; BUDGETS.len()],
 }
 
@@ -48,11 +47,11 @@
     hasher.finish().is_multiple_of(SAMPLED_ONE_IN)
 }
 
-impl LineBudgets {
+impl LogBudgets {
     /// True when a line of `class` about this request may be written now. Says first how many
     /// were left out before.
-    pub fn take(&self, class: LineClass, request_id: &[u8], now: Moment) -> bool {
-        if class == LineClass::Routine && !is_sampled(request_id) {
+    pub fn take(&self, class: LogClass, request_id: &[u8], now: Moment) -> bool {
+        if class == LogClass::Routine && !is_sampled(request_id) {
             return false;
         }
         let index = class as usize;
@@ -62,7 +61,7 @@
 }
 
 impl Budget {
-    fn take(&self, class: LineClass, allowed: u32, now: Moment) -> bool {
+    fn take(&self, class: LogClass, allowed: u32, now: Moment) -> bool {
         let second = now.since_start().as_secs();
         if self.second.replace(second) != second {
             self.used.set(0);
@@ -81,6 +80,6 @@
 }
 
 /// An id as log lines show it.
-pub fn shown(request_id: &[u8]) -> std::borrow::Cow<'_, str> {
+pub fn display_id(request_id: &[u8]) -> std::borrow::Cow<'_, str> {
     String::from_utf8_lossy(request_id)
 }
--- a/crates/sidecar/src/follow/mod.rs
+++ b/crates/sidecar/src/follow/mod.rs
@@ -118,7 +118,7 @@
             count(node, "missed");
             read_everything(node, source).await
         }
-        Err(SourceError::HistoryGone) => {
+        Err(SourceError::HistoryCompacted) => {
             log::info!("event=source_history_gone known={known}");
             count(node, "history-gone");
             read_everything(node, source).await
@@ -199,7 +199,7 @@
 /// nothing: it may have withdrawn keys. Nor does one of a source that lost what it had acknowledged,
 /// before the operator has had time to write it again.
 fn note_proof(node: &Node, seen: Option<ConfigurationVersion>, began: Moment) {
-    let may_lack_writes = node.knowledge.borrow().directory.may_lack_writes(began);
+    let may_lack_writes = node.cluster.borrow().directory.may_lack_writes(began);
     if !may_lack_writes && seen.is_some_and(|seen| seen <= node.known_state().configuration) {
         node.access.on_proven(began);
     }
@@ -247,7 +247,7 @@
 /// The source has answered; to be noted before what it said is taken over.
 fn note_answered(node: &Node) {
     count(node, "ok");
-    node.knowledge.borrow_mut().directory.note_source_answered(clock::now());
+    node.cluster.borrow_mut().directory.note_source_answered(clock::now());
     if node.source_away_since.take().is_some() {
         log::info!("event=source_regained");
     }
@@ -262,7 +262,7 @@
     count(node, "failed");
     let silent = matches!(error, SourceError::TimedOut);
     if silent || failures >= FAILURES_TO_BE_AWAY {
-        node.knowledge.borrow_mut().directory.note_source_away();
+        node.cluster.borrow_mut().directory.note_source_away();
         if node.source_away_since.get().is_none() {
             node.source_away_since.set(Some(clock::now()));
             log::warn!("event=source_lost error={:?}", error.to_string());
--- a/crates/sidecar/src/follow/start.rs
+++ b/crates/sidecar/src/follow/start.rs
@@ -10,7 +10,7 @@
 
 use super::{CALL_LIMIT, note_answered, note_failure, pause, read_everything};
 use crate::peers;
-use crate::source::{Recency, Source, SourceError};
+use crate::source::{ReadConsistency, Source, SourceError};
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -47,10 +47,10 @@
 
 async fn learn_more<S: Source>(node: &Node, source: &S, waited: Duration) -> Result<(), SourceError> {
     if !knows_peers(node) {
-        let list = source.instances(Recency::MaybeOld, CALL_LIMIT).await?;
+        let list = source.instances(ReadConsistency::MaybeStale, CALL_LIMIT).await?;
         note_answered(node);
         let now = clock::now();
-        node.knowledge.borrow_mut().directory.note_machines(&list.instances, now);
+        node.cluster.borrow_mut().directory.note_machines(&list.instances, now);
     }
     let is_due = if knows_peers(node) {
         ask_peers(node).await;
@@ -68,15 +68,15 @@
 /// True when this node knows of another machine.
 pub(super) fn knows_peers(node: &Node) -> bool {
     let own = node.settings().ip();
-    node.knowledge.borrow().directory.machines().any(|machine| machine != own)
+    node.cluster.borrow().directory.machines().any(|machine| machine != own)
 }
 
 /// Fetches from some peers at once; one that has just started itself knows nothing yet.
 pub(super) async fn ask_peers(node: &Node) {
     let own = node.settings().ip();
     let asked = {
-        let knowledge = node.knowledge.borrow();
-        let others = knowledge.directory.machines().filter(|machine| *machine != own);
+        let cluster = node.cluster.borrow();
+        let others = cluster.directory.machines().filter(|machine| *machine != own);
         node.random(|random| others.sample(random, PEERS_ASKED))
     };
     let fetches = futures::future::join_all(asked.into_iter().map(|peer| peers::fetch(node, peer)));
--- a/crates/sidecar/src/follow/watch.rs
+++ b/crates/sidecar/src/follow/watch.rs
@@ -71,19 +71,19 @@
 }
 
 /// Shortest and longest wait for changes in one call.
-pub fn waits(bounds: &Bounds) -> Range<Duration> {
+pub fn wait_range(bounds: &Bounds) -> Range<Duration> {
     let shortest = allowed(bounds).mul_f64(WAIT_PART).max(SHORTEST_WAIT);
     shortest..shortest.mul_f64(WAIT_SPREAD)
 }
 
 /// Interval of looks while a call waits.
-pub fn look_interval(bounds: &Bounds) -> Duration {
+pub fn check_interval(bounds: &Bounds) -> Duration {
     allowed(bounds).mul_f64(LOOK_PART).clamp(SHORTEST_LOOK_INTERVAL, LONGEST_LOOK_INTERVAL)
 }
 
 /// Changes after `known`, as soon as there are some.
 pub(super) async fn changes<S: Source>(node: &Node, source: &S, known: Revision) -> Result<Waited, SourceError> {
-    let waits = waits(&node.settings().bounds);
+    let waits = wait_range(&node.settings().bounds);
     let wait = node.random(|random| random.random_range(waits));
     let waiting = source.changes(known, wait, CALL_LIMIT);
     tokio::select! {
@@ -103,7 +103,7 @@
 
 /// Looks at the source's last change until it is one that the waiting call has not told.
 async fn look_regularly<S: Source>(node: &Node, source: &S, known: Revision) -> Result<Infallible, Ended> {
-    let interval = look_interval(&node.settings().bounds);
+    let interval = check_interval(&node.settings().bounds);
     let mut failures = 0;
     loop {
         tokio::time::sleep(interval).await;
@@ -139,5 +139,5 @@
     if wants_proof(node) {
         return prove_configuration(node, source).await;
     }
-    source.position(CALL_LIMIT).await
+    source.latest_revision(CALL_LIMIT).await
 }
--- a/crates/sidecar/src/gate/declared_rate.rs
+++ b/crates/sidecar/src/gate/declared_rate.rs
@@ -7,7 +7,7 @@
 use olivegate_types::InstanceName;
 
 use crate::declared::RateRecord;
-use crate::event::shown;
+use crate::event::display_id;
 use crate::gate::notice::RateNotice;
 use crate::gate::slots::{InstanceSlots, RateNews};
 use crate::metrics::Metrics;
@@ -35,10 +35,10 @@
     fn fields(self) -> String {
         match self {
             LearntBy::Answer { request, status } => {
-                format!("by=answer request={} status={status}", shown(request))
+                format!("by=answer request={} status={status}", display_id(request))
             }
             LearntBy::Question => "by=question".into(),
-            LearntBy::Edge { request } => format!("by=edge request={}", shown(request)),
+            LearntBy::Edge { request } => format!("by=edge request={}", display_id(request)),
         }
     }
 }
--- a/crates/sidecar/src/gate/exchange.rs
+++ b/crates/sidecar/src/gate/exchange.rs
@@ -61,7 +61,7 @@
             return Err(failure);
         }
     };
-    let notice = Notice::of(&matched.head, &node.vocabulary);
+    let notice = Notice::of(&matched.head, &node.wire_names);
     slots.note_close(notice.closes);
     if matched.head.status != OTHER_INSTANCE {
         let by = LearntBy::Answer { request: &offer.request_id, status: matched.head.status };
@@ -104,10 +104,10 @@
 
 /// The head as the instance gets it.
 fn request_head(node: &Node, offer: &Offer, time_left: Duration) -> RequestHead {
-    let vocabulary = &node.vocabulary;
+    let wire_names = &node.wire_names;
     let mut head = offer.head.clone();
-    head.fields.set(vocabulary.time_left_ms, time_left.as_millis().max(1).to_string());
-    head.fields.set(vocabulary.expected_instance, Bytes::copy_from_slice(offer.instance.as_str().as_bytes()));
+    head.fields.set(wire_names.time_left_ms, time_left.as_millis().max(1).to_string());
+    head.fields.set(wire_names.expected_instance, Bytes::copy_from_slice(offer.instance.as_str().as_bytes()));
     head
 }
 
@@ -168,7 +168,7 @@
 ) -> Result<Option<(ResponseHead, BodyLength)>, FailureReason> {
     match frame {
         Some(Ok(Frame::Head(head, length))) => {
-            let is_own = head.fields.get(node.vocabulary.request_id) == Some(request_id);
+            let is_own = head.fields.get(node.wire_names.request_id) == Some(request_id);
             if !is_own {
                 node.metrics.exchanges.with_label_values(&["surplus-answer"]).inc();
             }
@@ -238,12 +238,12 @@
 /// What the instance says about not having run the request.
 fn refusal_of(node: &Node, head: &ResponseHead) -> Result<(), Failure> {
     if head.status == OTHER_INSTANCE {
-        if let Some(present) = head.fields.text(node.vocabulary.instance) {
+        if let Some(present) = head.fields.text(node.wire_names.instance) {
             super::meet_instance(node, present);
         }
         return Err(Failure::not_run(FailureReason::WrongInstance));
     }
-    let is_refusal = head.status >= 400 && head.fields.get(node.vocabulary.not_run).is_some();
+    let is_refusal = head.status >= 400 && head.fields.get(node.wire_names.not_run).is_some();
     if is_refusal { Err(Failure::not_run(FailureReason::RefusedByInstance)) } else { Ok(()) }
 }
 
--- a/crates/sidecar/src/gate/idle_reuse.rs
+++ b/crates/sidecar/src/gate/idle_reuse.rs
@@ -8,7 +8,7 @@
 
 use olivegate_types::Moment;
 
-use crate::model::RepeatSafety;
+use crate::model::RetrySafety;
 
 /// Rest up to which a connection is trusted where a lost request costs much: one that may run only
 /// once, for nobody can say whether it ran, and any while the instance is known to forget.
@@ -34,12 +34,12 @@
 
 impl RestTrust {
     /// Longest rest after which a connection may carry a request.
-    pub fn longest(&self, safety: RepeatSafety, now: Moment) -> Duration {
+    pub fn longest(&self, safety: RetrySafety, now: Moment) -> Duration {
         let lesson = self.lesson.filter(|lesson| now.since(lesson.learnt) < LESSON_LASTS);
         let learnt = lesson.map_or(Duration::MAX, |lesson| lesson.longest);
         match safety {
-            RepeatSafety::Safe => learnt,
-            RepeatSafety::Unsafe => learnt.min(CAUTIOUS),
+            RetrySafety::Safe => learnt,
+            RetrySafety::Unsafe => learnt.min(CAUTIOUS),
         }
     }
 
@@ -48,7 +48,7 @@
         if rested < SHORTEST {
             return;
         }
-        let known = self.longest(RepeatSafety::Safe, now);
+        let known = self.longest(RetrySafety::Safe, now);
         let longest = rested.mul_f64(TRUSTED_PART).min(CAUTIOUS).min(known).max(SHORTEST);
         self.lesson = Some(Lesson { longest, learnt: now });
     }
--- a/crates/sidecar/src/gate/instance_connection.rs
+++ b/crates/sidecar/src/gate/instance_connection.rs
@@ -16,7 +16,7 @@
 
 use crate::gate::idle_closes::IdleCloses;
 use crate::gate::idle_reuse::RestTrust;
-use crate::model::RepeatSafety;
+use crate::model::RetrySafety;
 use crate::transport;
 use olivegate_clock as clock;
 
@@ -88,7 +88,7 @@
 impl InstanceConnections {
     /// A connection that rests and may carry such a request, the last used first; `None` when
     /// there is none to use.
-    pub fn take(&self, safety: RepeatSafety) -> Option<InstanceConnection> {
+    pub fn take(&self, safety: RetrySafety) -> Option<InstanceConnection> {
         let now = Instant::now();
         let longest = self.trust.get().longest(safety, clock::now());
         loop {
@@ -145,11 +145,11 @@
 
     /// Leaves a connection that rested too long, and those below, which rested longer, for
     /// requests that may run again; closes them when they don't do for those either.
-    fn leave(&self, connection: Resting, safety: RepeatSafety) {
+    fn leave(&self, connection: Resting, safety: RetrySafety) {
         let mut resting = self.resting.borrow_mut();
         match safety {
-            RepeatSafety::Unsafe => resting.push(connection),
-            RepeatSafety::Safe => resting.clear(),
+            RetrySafety::Unsafe => resting.push(connection),
+            RetrySafety::Safe => resting.clear(),
         }
     }
 
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -49,8 +49,8 @@
 use olivegate_overload::{ClassKey, ProcessPace, SlotRequest};
 use olivegate_types::{GroupName, InstanceName, Moment, Refusal, RefusalReason};
 
-use crate::directory::Standing;
-use crate::event::{LineClass, shown};
+use crate::directory::InstanceStatus;
+use crate::event::{LogClass, display_id};
 use crate::hop::{ONE_GROUP, Offer, Root};
 use crate::lateness;
 use crate::model::{Incarnation, Instance, InstanceState};
@@ -93,7 +93,7 @@
         if let Some(slots) = self.instances.borrow().get(name) {
             return slots.clone();
         }
-        let listed = node.knowledge.borrow().directory.instance(name);
+        let listed = node.cluster.borrow().directory.instance(name);
         let count = listed.as_ref().map_or(UNLISTED_SLOTS, |instance| instance.slots);
         let slots = Rc::new(InstanceSlots::new(count));
         listed.into_iter().for_each(|instance| {
@@ -106,10 +106,10 @@
     /// Follows the directory: slot counts, and instances that are gone or have started again. One
     /// that came back under its name must not pass for leaving, or ended, since the one before was.
     pub fn follow_directory(&self, node: &Node) {
-        let knowledge = node.knowledge.borrow();
+        let cluster = node.cluster.borrow();
         self.instances.borrow_mut().retain(|name, slots| {
-            let is_same = knowledge.directory.instance(name).is_none_or(|instance| slots.follow(&instance));
-            let is_of_use = knowledge.directory.standing(name) != Standing::Gone || slots.in_use();
+            let is_same = cluster.directory.instance(name).is_none_or(|instance| slots.follow(&instance));
+            let is_of_use = cluster.directory.status(name) != InstanceStatus::Gone || slots.in_use();
             let is_kept = is_same && is_of_use;
             if !is_kept && slots.is_limited() {
                 declared_rate::tell_forgotten(&slots.start_name(name), &node.metrics);
@@ -139,7 +139,7 @@
     }
 
     fn load_of(&self, node: &Node, name: &InstanceName, slots: &InstanceSlots, class: &ClassKey) -> Load {
-        let is_leaving = node.knowledge.borrow().directory.has_said_leaving(name, slots.incarnation());
+        let is_leaving = node.cluster.borrow().directory.has_announced_leaving(name, slots.incarnation());
         Load { self_report: slots.self_report(is_leaving), ..slots.load(class, self.repeats_for(node, slots)) }
     }
 
@@ -274,11 +274,11 @@
 }
 
 fn log_start(node: &Node, offer: &Offer, time_left: Duration) {
-    if node.may_log(LineClass::Routine, &offer.request_id) {
+    if node.may_log(LogClass::Routine, &offer.request_id) {
         let status = node.gate.status(&offer.instance);
         log::info!(
             "event=started request={} route={} instance={} {status} waited_ms={} left_ms={}",
-            shown(&offer.request_id),
+            display_id(&offer.request_id),
             offer.route,
             offer.instance,
             u128::from(offer.time_left_ms).saturating_sub((time_left + ANSWER_TRAVEL).as_millis()),
@@ -289,11 +289,11 @@
 
 fn log_failure(node: &Node, offer: &Offer, failure: Failure, used: Duration, content: &RunContent) {
     let content = if failure.reason == FailureReason::InstanceEnded { content.shown() } else { "none".into() };
-    if node.may_log(LineClass::Failure, &offer.request_id) {
+    if node.may_log(LogClass::Failure, &offer.request_id) {
         log::info!(
             "event=exchange_failed request={} route={} instance={} reason={} may_have_run={} after_ms={} \
              content={content}",
-            shown(&offer.request_id),
+            display_id(&offer.request_id),
             offer.route,
             offer.instance,
             failure.reason.as_str(),
@@ -308,9 +308,9 @@
     if node.stop.is_closing() {
         return Some(RefusalReason::NodeNotReady);
     }
-    match node.knowledge.borrow().directory.standing(name) {
-        Standing::Ready | Standing::Unknown => None,
-        Standing::Draining | Standing::Gone => Some(RefusalReason::InstanceLeaving),
+    match node.cluster.borrow().directory.status(name) {
+        InstanceStatus::Ready | InstanceStatus::Unknown => None,
+        InstanceStatus::Draining | InstanceStatus::Gone => Some(RefusalReason::InstanceLeaving),
     }
 }
 
@@ -330,10 +330,10 @@
 /// The instance beside this node that took the place of `meant`.
 fn successor_of(node: &Node, meant: &InstanceName) -> Option<Box<Instance>> {
     let settings = node.settings();
-    let knowledge = node.knowledge.borrow();
-    let directory = &knowledge.directory;
+    let cluster = node.cluster.borrow();
+    let directory = &cluster.directory;
     let present = directory.instance_at(settings.instance)?;
-    let takes_its_place = present.name != *meant && directory.standing(&present.name) == Standing::Ready;
+    let takes_its_place = present.name != *meant && directory.status(&present.name) == InstanceStatus::Ready;
     takes_its_place.then(|| Box::new(Instance::clone(&present)))
 }
 
@@ -342,7 +342,7 @@
 fn meet_instance(node: &Node, name: &str) {
     let settings = node.settings();
     let now = clock::now();
-    let slots = node.knowledge.borrow().directory.slots_of_service(&settings.service);
+    let slots = node.cluster.borrow().directory.slots_of_service(&settings.service);
     let instance = Instance {
         name: InstanceName::new(name),
         incarnation: Incarnation::UNKNOWN,
@@ -375,11 +375,11 @@
 fn count_refusal(node: &Node, offer: &Offer, reply: GateReply) -> GateReply {
     if let GateReply::Refused { refusal, .. } = &reply {
         node.metrics.refusals.with_label_values(&[refusal.reason.as_str()]).inc();
-        if node.may_log(LineClass::Refusal, &offer.request_id) {
+        if node.may_log(LogClass::Refusal, &offer.request_id) {
             let status = node.gate.status(&offer.instance);
             log::info!(
                 "event=offer_refused request={} route={} instance={} reason={} {status} left_ms={}",
-                shown(&offer.request_id),
+                display_id(&offer.request_id),
                 offer.route,
                 offer.instance,
                 refusal.reason,
--- a/crates/sidecar/src/gate/notice.rs
+++ b/crates/sidecar/src/gate/notice.rs
@@ -5,7 +5,7 @@
 use olivegate_http1::ResponseHead;
 use olivegate_overload::{DeclaredRate, RateError};
 
-use crate::vocabulary::Vocabulary;
+use crate::wire_names::WireNames;
 
 /// Value of the field by which an instance says that it leaves.
 const LEAVES: &[u8] = b"1";
@@ -36,10 +36,10 @@
 
 impl Notice {
     /// What the answer with this head says.
-    pub fn of(head: &ResponseHead, vocabulary: &Vocabulary) -> Self {
-        let leaves = head.fields.get(vocabulary.leaving);
+    pub fn of(head: &ResponseHead, wire_names: &WireNames) -> Self {
+        let leaves = head.fields.get(wire_names.leaving);
         Notice {
-            rate: rate_of(head, vocabulary),
+            rate: rate_of(head, wire_names),
             is_leaving: leaves.is_some_and(|value| value.as_ref().trim_ascii() == LEAVES),
             closes: !head.keeps_connection(),
             idle_timeout: idle_timeout_of(head),
@@ -48,9 +48,9 @@
 }
 
 /// The smallest of the rates that are named; an unreadable one makes the answer unreadable.
-fn rate_of(head: &ResponseHead, vocabulary: &Vocabulary) -> RateNotice {
+fn rate_of(head: &ResponseHead, wire_names: &WireNames) -> RateNotice {
     let mut named = RateNotice::Unlimited;
-    for value in head.fields.all(vocabulary.declared_rate) {
+    for value in head.fields.all(wire_names.declared_rate) {
         let text = std::str::from_utf8(value).unwrap_or_default();
         named = match (text.parse::<DeclaredRate>(), named) {
             (Err(error), _) => return RateNotice::Unreadable(error),
--- a/crates/sidecar/src/gate/presence.rs
+++ b/crates/sidecar/src/gate/presence.rs
@@ -124,7 +124,7 @@
 /// Takes in what the instance says of itself. That it names no rate here shows no end of its need: it may
 /// name it to callers only.
 fn take_notice(node: &Node, expected: &InstanceName, slots: &Rc<InstanceSlots>, answer: &ResponseHead) {
-    let notice = Notice::of(answer, &node.vocabulary);
+    let notice = Notice::of(answer, &node.wire_names);
     if matches!(notice.rate, RateNotice::Limited(_)) {
         declared_rate::take_notice(slots, expected, notice.rate, LearntBy::Question, &node.metrics);
     }
@@ -135,14 +135,14 @@
 
 /// The path by which instances of this machine's service are asked whether they are healthy.
 fn health_path(node: &Node) -> Option<String> {
-    let knowledge = node.knowledge.borrow();
-    knowledge.configuration.as_ref()?.health_paths.get(&node.settings().service).cloned()
+    let cluster = node.cluster.borrow();
+    cluster.configuration.as_ref()?.health_paths.get(&node.settings().service).cloned()
 }
 
 fn question_head(node: &Node, path: String, address: SocketAddr, expected: &InstanceName) -> RequestHead {
     let mut fields = Fields::default();
     fields.add("Host", address.to_string());
-    fields.add(node.vocabulary.expected_instance, Bytes::copy_from_slice(expected.as_str().as_bytes()));
+    fields.add(node.wire_names.expected_instance, Bytes::copy_from_slice(expected.as_str().as_bytes()));
     RequestHead { method: Bytes::from_static(b"GET"), target: path.into(), minor_version: 1, fields }
 }
 
@@ -162,7 +162,7 @@
 }
 
 fn found_by(node: &Node, answer: &ResponseHead, expected: &InstanceName) -> Found {
-    match answer.fields.text(node.vocabulary.instance) {
+    match answer.fields.text(node.wire_names.instance) {
         Some(name) if name == expected.as_str() => Found::Expected,
         Some(name) => Found::Other(Some(InstanceName::new(name))),
         None if answer.status == 421 => Found::Other(None),
--- a/crates/sidecar/src/gate/quarantine/admission.rs
+++ b/crates/sidecar/src/gate/quarantine/admission.rs
@@ -10,7 +10,7 @@
 
 use super::GateQuarantine;
 use super::run_content::RunContent;
-use crate::event::{LineClass, shown};
+use crate::event::{LogClass, display_id};
 use crate::hop::Offer;
 use crate::reply::{Body, BodyBroken};
 use crate::state::Node;
@@ -64,10 +64,10 @@
 
     fn log_held(&self, node: &Node, offer: &Offer, content: &RunContent) {
         let Some(digest) = content.digest() else { return };
-        if node.may_log(LineClass::Refusal, &offer.request_id) {
+        if node.may_log(LogClass::Refusal, &offer.request_id) {
             log::info!(
                 "event=request_held request={} route={} caller={} content={digest} {}",
-                shown(&offer.request_id),
+                display_id(&offer.request_id),
                 offer.route,
                 content.caller(),
                 self.standing(node, &digest),
@@ -152,7 +152,7 @@
 /// all nodes that know the same instances.
 fn is_prober(node: &Node, content: &ContentDigest) -> bool {
     let settings = node.settings();
-    let instances = node.knowledge.borrow().directory.ready_instances(&settings.service);
+    let instances = node.cluster.borrow().directory.ready_instances(&settings.service);
     let first = instances.iter().max_by_key(|instance| place(content, &instance.name));
     first.is_some_and(|instance| instance.address == settings.instance)
 }
--- a/crates/sidecar/src/gate/quarantine/evidence.rs
+++ b/crates/sidecar/src/gate/quarantine/evidence.rs
@@ -6,7 +6,7 @@
 use super::run_content::RunContent;
 use super::run_history::Run;
 use super::{GateQuarantine, ReportOrigin};
-use crate::directory::Standing;
+use crate::directory::InstanceStatus;
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -37,8 +37,8 @@
     }
 
     fn mark(&self, node: &Node, run: &Run, ended: Moment) {
-        let standing = node.knowledge.borrow().directory.standing(&run.instance);
-        let was_leaving = matches!(standing, Standing::Draining | Standing::Gone);
+        let status = node.cluster.borrow().directory.status(&run.instance);
+        let was_leaving = matches!(status, InstanceStatus::Draining | InstanceStatus::Gone);
         let began_later = run.began > ended;
         if was_leaving || began_later {
             return;
--- a/crates/sidecar/src/gate/quarantine/run_content.rs
+++ b/crates/sidecar/src/gate/quarantine/run_content.rs
@@ -9,7 +9,7 @@
 use futures::StreamExt;
 use olivegate_quarantine::{ContentDigest, ContentHasher, SuspectedContent};
 
-use crate::event::shown;
+use crate::event::display_id;
 use crate::hop::Offer;
 use crate::reply::{Body, BodyStream};
 use crate::state::Node;
@@ -96,7 +96,7 @@
     /// The content of `offer` with this body, and the body as it is to be passed on.
     pub fn of(node: &Node, offer: &Offer, body: Body) -> (Self, Body) {
         let head = &offer.head;
-        let caller = head.fields.get(node.vocabulary.caller_service).cloned().unwrap_or_default();
+        let caller = head.fields.get(node.wire_names.caller_service).cloned().unwrap_or_default();
         let (run_body, body) = match body {
             Body::Whole(bytes) => (RunBody::Whole(bytes.clone()), Body::Whole(bytes)),
             Body::Stream(stream, length) => {
@@ -140,7 +140,7 @@
 
     /// The service that makes the request, for log lines.
     pub fn caller(&self) -> Cow<'_, str> {
-        shown(&self.caller)
+        display_id(&self.caller)
     }
 
     /// Its digest, for log lines.
--- a/crates/sidecar/src/gate/repeats.rs
+++ b/crates/sidecar/src/gate/repeats.rs
@@ -30,7 +30,7 @@
 
 fn policy(node: &Node) -> RepeatPolicy {
     let settings = node.settings();
-    let gates = node.knowledge.borrow().directory.ready_instances(&settings.service).len().max(1);
+    let gates = node.cluster.borrow().directory.ready_instances(&settings.service).len().max(1);
     RepeatPolicy {
         ratio: settings.bounds.repeat_ratio * RATIO_PART,
         slack: settings.bounds.repeat_slack * SLACK_PART / gates as f64,
--- a/crates/sidecar/src/gate/serve.rs
+++ b/crates/sidecar/src/gate/serve.rs
@@ -21,7 +21,7 @@
 
 /// Takes connections until the process ends.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
-    let most = node.settings().machine.most_connections();
+    let most = node.settings().machine.max_connections();
     let serve = |stream, place| connection(node.clone(), stream, place);
     transport::serve_connections("inbound", listener, most, serve).await;
 }
@@ -39,8 +39,8 @@
         let goes_on = match hop::decode::<EdgeMessage>(&frame) {
             Ok(EdgeMessage::Offer(offer)) => serve_offer(&node, &mut stream, *offer).await,
             Ok(EdgeMessage::Fetch(known)) => {
-                let knowledge = peers::knowledge_for(&node, known);
-                stream.send(hop::encode(&knowledge)).await.is_ok()
+                let update = peers::cluster_update_for(&node, known);
+                stream.send(hop::encode(&update)).await.is_ok()
             }
             Ok(EdgeMessage::Data(_) | EdgeMessage::End | EdgeMessage::Confirm) | Err(_) => false,
         };
@@ -74,7 +74,7 @@
 /// Serves one offer; false when the connection can't be used again. When the edge closes
 /// the connection the request is dropped, wherever it is.
 async fn serve_offer(node: &Rc<Node>, stream: &mut HopStream, offer: Offer) -> bool {
-    let _in_flight = node.stop.enter();
+    let _in_flight = node.stop.track_request();
     let (instance, root, hop) = (offer.instance.clone(), offer.root.clone(), offer.hop);
     let (body, mut feed) = body_of(&offer);
     let (confirmation, mut relay) = confirmation(offer.needs_confirmation);
--- a/crates/sidecar/src/hop.rs
+++ b/crates/sidecar/src/hop.rs
@@ -20,7 +20,7 @@
 
 use crate::declared::RateRecord;
 use crate::directory::copy::DirectoryCopy;
-use crate::model::{Configuration, ConfigurationVersion, Instance, RepeatSafety, Revision};
+use crate::model::{Configuration, ConfigurationVersion, Instance, RetrySafety, Revision};
 use crate::peers::AnnouncedReading;
 use crate::reply::{AnswerFault, Failure, Load};
 
@@ -96,7 +96,7 @@
     /// 0 for a client's request; a call has one more than the request that makes it.
     pub hop: u8,
     /// Whether it may run more than once.
-    pub safety: RepeatSafety,
+    pub safety: RetrySafety,
     /// True when it has arrived at an instance before.
     pub is_repeat: bool,
     /// Instances that ended with it at work.
@@ -178,7 +178,7 @@
     /// The rest of the answer can't be had.
     Broken,
     /// What the other node lacked.
-    Knowledge {
+    ClusterUpdate {
         /// A newer configuration.
         configuration: Option<Configuration>,
         /// A newer directory.
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -55,9 +55,9 @@
 pub mod stop;
 pub mod suspension;
 pub mod transport;
-pub mod vocabulary;
+pub mod wire_names;
 
 pub use app::SidecarApp;
 pub use settings::SidecarSettings;
 pub use source::Source;
-pub use vocabulary::Vocabulary;
+pub use wire_names::WireNames;
--- a/crates/sidecar/src/model.rs
+++ b/crates/sidecar/src/model.rs
@@ -68,23 +68,23 @@
     pub const UNKNOWN: Incarnation = Incarnation(0);
 
     /// True where the start is told.
-    pub fn is_told(self) -> bool {
+    pub fn is_known(self) -> bool {
         self != Incarnation::UNKNOWN
     }
 
     /// This start where it is told, else `other`.
     pub fn or(self, other: Incarnation) -> Incarnation {
-        if self.is_told() { self } else { other }
+        if self.is_known() { self } else { other }
     }
 
     /// Name of this start of the instance `name`, where one that starts again is another.
     pub fn start_name(self, name: &InstanceName) -> InstanceName {
-        if self.is_told() { InstanceName::new(format!("{name}@{}", self.0)) } else { name.clone() }
+        if self.is_known() { InstanceName::new(format!("{name}@{}", self.0)) } else { name.clone() }
     }
 
     /// True when both are told and differ.
     pub fn differs_from(self, other: Incarnation) -> bool {
-        self != other && self.is_told() && other.is_told()
+        self != other && self.is_known() && other.is_known()
     }
 
     /// True when both are told and this one is the earlier.
@@ -111,7 +111,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum RepeatSafety {
+pub enum RetrySafety {
     /// It may be sent again after any failure.
     Safe,
     /// It may run at most once.
@@ -120,7 +120,7 @@
 
 /// A service that takes a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct WeightedPart {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
     /// Its share, relative to the other parts.
@@ -137,9 +137,9 @@
     /// Beginning of the path; begins and ends with a slash.
     pub path_prefix: String,
     /// Services that run its requests; at least one.
-    pub parts: Vec<WeightedPart>,
+    pub services: Vec<WeightedService>,
     /// Whether its requests may run more than once.
-    pub safety: RepeatSafety,
+    pub safety: RetrySafety,
     /// Longest time that a request is held.
     pub timeout: Option<Millis>,
     /// Time within which an answer is worth most.
--- a/crates/sidecar/src/peers/access.rs
+++ b/crates/sidecar/src/peers/access.rs
@@ -145,7 +145,7 @@
 }
 
 fn note_nodes(node: &Node) {
-    let nodes = node.knowledge.borrow().directory.machines().count();
+    let nodes = node.cluster.borrow().directory.machines().count();
     node.access.set_nodes(u32::try_from(nodes).unwrap_or(u32::MAX));
 }
 
@@ -184,8 +184,8 @@
     let own = node.settings().ip();
     let reader = node.freshness.borrow().latest().map(|reading| reading.reader);
     let mut asked: HashSet<IpAddr> = {
-        let knowledge = node.knowledge.borrow();
-        node.random(|random| knowledge.directory.machines().sample(random, PROOF_FAN_OUT)).into_iter().collect()
+        let cluster = node.cluster.borrow();
+        node.random(|random| cluster.directory.machines().sample(random, PROOF_FAN_OUT)).into_iter().collect()
     };
     asked.extend(reader);
     asked.remove(&own);
@@ -210,10 +210,10 @@
 
 fn other_collectors(node: &Node) -> Vec<IpAddr> {
     let own = node.settings().ip();
-    let knowledge = node.knowledge.borrow();
-    let zones = knowledge.directory.zones();
+    let cluster = node.cluster.borrow();
+    let zones = cluster.directory.zones();
     let first_of = |zone| {
-        let order = relay::order_of(knowledge.directory.machines_of_zone(zone), own);
+        let order = relay::order_of(cluster.directory.machines_of_zone(zone), own);
         let others = order.into_iter().filter(|machine| *machine != own);
         others.take(COLLECTORS_TOLD).collect::<Vec<_>>()
     };
--- a/crates/sidecar/src/peers/attestation.rs
+++ b/crates/sidecar/src/peers/attestation.rs
@@ -50,7 +50,7 @@
     // The instance of which the source's word was found to hold.
     let mut gone: Option<Instance> = None;
     loop {
-        node.knowledge_changed.notified().await;
+        node.cluster_changed.notified().await;
         while let Some(instance) = unlisted_instance(&node).filter(|instance| gone.as_ref() != Some(instance)) {
             if !may_attest(&node, source.as_ref(), &instance).await {
                 node.update_directory("gate", |directory| directory.confirm_gone(&instance.name, clock::now()));
@@ -66,8 +66,8 @@
 
 fn unlisted_instance(node: &Node) -> Option<Instance> {
     let address = node.settings().instance;
-    let knowledge = node.knowledge.borrow();
-    knowledge.directory.unlisted_at(address).map(|instance| Instance::clone(&instance))
+    let cluster = node.cluster.borrow();
+    cluster.directory.unlisted_at(address).map(|instance| Instance::clone(&instance))
 }
 
 /// True when the source is silent towards this machine and the instance lives and stays.
--- a/crates/sidecar/src/peers/mod.rs
+++ b/crates/sidecar/src/peers/mod.rs
@@ -101,7 +101,7 @@
 
 fn zone_order(node: &Node) -> Vec<IpAddr> {
     let settings = node.settings();
-    let machines = node.knowledge.borrow().directory.machines_of_zone(&settings.zone);
+    let machines = node.cluster.borrow().directory.machines_of_zone(&settings.zone);
     relay::order_of(machines, settings.ip())
 }
 
@@ -148,7 +148,7 @@
 fn on_reading(node: &Node, announcement: &Announcement) -> bool {
     let Some(reading) = announcement.reading.map(AnnouncedReading::to_reading) else { return false };
     if node.source_away_since.get().is_some_and(|since| reading.at > since) {
-        node.knowledge.borrow_mut().directory.note_source_seen(reading.at);
+        node.cluster.borrow_mut().directory.note_source_seen(reading.at);
     }
     if announcement.zone == node.settings().zone {
         return node.freshness.borrow_mut().on_announced(reading);
@@ -192,7 +192,7 @@
     let mut stream = node.hops.connection(address).await?;
     stream.send(hop::encode(&EdgeMessage::Fetch(node.known_state()))).await?;
     let frame = stream.next().await.ok_or(std::io::ErrorKind::UnexpectedEof)??;
-    let GateMessage::Knowledge { configuration, directory, reading } = hop::decode(&frame)? else {
+    let GateMessage::ClusterUpdate { configuration, directory, reading } = hop::decode(&frame)? else {
         return Err(std::io::ErrorKind::InvalidData.into());
     };
     node.hops.keep(address, stream);
@@ -211,12 +211,12 @@
 }
 
 /// The answer to another node's fetch.
-pub fn knowledge_for(node: &Node, other: KnownState) -> GateMessage {
-    let knowledge = node.knowledge.borrow();
-    let newer = knowledge.configuration.as_ref().filter(|own| own.version > other.configuration);
-    let is_behind = knowledge.directory.revision() > other.directory;
-    let directory = is_behind.then(|| knowledge.directory.copy_since(other.directory, clock::now()));
-    GateMessage::Knowledge {
+pub fn cluster_update_for(node: &Node, other: KnownState) -> GateMessage {
+    let cluster = node.cluster.borrow();
+    let newer = cluster.configuration.as_ref().filter(|own| own.version > other.configuration);
+    let is_behind = cluster.directory.revision() > other.directory;
+    let directory = is_behind.then(|| cluster.directory.copy_since(other.directory, clock::now()));
+    GateMessage::ClusterUpdate {
         configuration: newer.map(|own| own.as_ref().clone()),
         directory,
         reading: latest_reading(node),
@@ -225,7 +225,7 @@
 
 async fn announce_changes(node: Rc<Node>, socket: Rc<UdpSocket>) {
     loop {
-        node.knowledge_changed.notified().await;
+        node.cluster_changed.notified().await;
         announce(&node, &socket, Audience::ChildrenAndFew).await;
         tokio::time::sleep(CHANGE_PAUSE).await;
     }
@@ -260,8 +260,8 @@
         chosen.extend(order.first());
     }
     if audience == Audience::ChildrenAndFew {
-        let knowledge = node.knowledge.borrow();
-        chosen.extend(node.random(|random| knowledge.directory.machines().sample(random, FAN_OUT)));
+        let cluster = node.cluster.borrow();
+        chosen.extend(node.random(|random| cluster.directory.machines().sample(random, FAN_OUT)));
     }
     chosen.remove(&own);
     chosen
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -58,21 +58,21 @@
 impl WeightedDealer {
     /// The service that runs the next request of `route`.
     pub fn deal(&mut self, route: &Route) -> Option<ServiceName> {
-        if route.parts.len() <= 1 {
-            return route.parts.first().map(|part| part.service.clone());
+        if route.services.len() <= 1 {
+            return route.services.first().map(|part| part.service.clone());
         }
         let credits = self.credits.entry(route.name.clone()).or_default();
-        if credits.len() != route.parts.len() {
-            *credits = vec![0; route.parts.len()];
+        if credits.len() != route.services.len() {
+            *credits = vec![0; route.services.len()];
         }
         let mut total = 0;
-        for (credit, part) in credits.iter_mut().zip(&route.parts) {
+        for (credit, part) in credits.iter_mut().zip(&route.services) {
             *credit += i64::from(part.weight);
             total += i64::from(part.weight);
         }
         let chosen = (0..credits.len()).max_by_key(|&index| (credits[index], std::cmp::Reverse(index)))?;
         credits[chosen] -= total;
-        Some(route.parts[chosen].service.clone())
+        Some(route.services[chosen].service.clone())
     }
 
     /// Forgets routes that are no longer configured.
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -72,18 +72,18 @@
 impl MachineLimits {
     /// Most connections that each of the two ports for requests accepts at a time. An accepted
     /// connection may need one of the node's own.
-    pub fn most_connections(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         let left = self.max_descriptors.saturating_sub(KEPT_DESCRIPTORS) / 4;
         usize::try_from(left.max(16)).unwrap_or(usize::MAX)
     }
 
     /// Most requests that may be on their way at a time, whatever their size.
-    pub fn most_requests(&self) -> usize {
-        self.most_requests_of(LARGEST_REQUEST)
+    pub fn max_requests(&self) -> usize {
+        self.max_requests_of(LARGEST_REQUEST)
     }
 
     /// Most requests that may be on their way at a time where they hold `mean` bytes on average.
-    pub fn most_requests_of(&self, mean: u64) -> usize {
+    pub fn max_requests_of(&self, mean: u64) -> usize {
         let each = mean.saturating_mul(TIMES_MEAN).clamp(SMALLEST_REQUEST, LARGEST_REQUEST);
         let requests = (self.memory_mb << 20) / REQUEST_MEMORY_PART / each;
         usize::try_from(requests.max(16)).unwrap_or(usize::MAX)
--- a/crates/sidecar/src/source.rs
+++ b/crates/sidecar/src/source.rs
@@ -47,11 +47,11 @@
 
 /// How recent a list has to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Recency {
+pub enum ReadConsistency {
     /// It shows all changes that the source had acknowledged before it was asked.
     Latest,
     /// It may be some seconds old, and costs least.
-    MaybeOld,
+    MaybeStale,
 }
 
 /// One change.
@@ -62,7 +62,7 @@
     /// An instance appeared or changed.
     Instance(ListedInstance),
     /// An instance's entry went away.
-    InstanceGone {
+    InstanceRemoved {
         /// The instance.
         name: InstanceName,
         /// The change that removed it.
@@ -76,7 +76,7 @@
         match self {
             Change::Configuration(_) => None,
             Change::Instance(listed) => Some(listed.revision),
-            Change::InstanceGone { revision, .. } => Some(*revision),
+            Change::InstanceRemoved { revision, .. } => Some(*revision),
         }
     }
 }
@@ -100,7 +100,7 @@
     /// It refuses for now, because of load or a fault of its own.
     Refused(u16),
     /// The changes asked for are forgotten: read everything again.
-    HistoryGone,
+    HistoryCompacted,
     /// It has lost what it had acknowledged, and begun a new epoch: read everything again.
     EpochChanged,
     /// The answer can't be understood.
@@ -113,7 +113,7 @@
             SourceError::Unreachable(reason) => write!(formatter, "unreachable: {reason}"),
             SourceError::TimedOut => formatter.write_str("no answer in time"),
             SourceError::Refused(status) => write!(formatter, "refused with status {status}"),
-            SourceError::HistoryGone => formatter.write_str("history is gone"),
+            SourceError::HistoryCompacted => formatter.write_str("history is gone"),
             SourceError::EpochChanged => formatter.write_str("epoch has changed"),
             SourceError::Malformed(reason) => write!(formatter, "malformed answer: {reason}"),
         }
@@ -127,7 +127,7 @@
     /// Reads the instances. `limit` bounds the time of each call.
     fn instances(
         &self,
-        recency: Recency,
+        consistency: ReadConsistency,
         limit: Duration,
     ) -> impl Future<Output = Result<InstanceList, SourceError>>;
 
@@ -138,7 +138,7 @@
     fn configuration(&self, limit: Duration) -> impl Future<Output = Result<ConfigurationReading, SourceError>>;
 
     /// Reads the source's last change as of when it is asked, by the cheapest call that tells it.
-    fn position(&self, limit: Duration) -> impl Future<Output = Result<Revision, SourceError>>;
+    fn latest_revision(&self, limit: Duration) -> impl Future<Output = Result<Revision, SourceError>>;
 
     /// Waits up to `wait` for changes after `after`; none when there were none.
     /// `limit` bounds the time of the call beyond `wait`.
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -17,9 +17,9 @@
 use crate::access::Access;
 use crate::declared::DeclaredRates;
 use crate::directory::hold::HoldPolicy;
-use crate::directory::{Directory, Standing};
+use crate::directory::{Directory, InstanceStatus};
 use crate::edge::hop_pool::HopPool;
-use crate::event::{LineBudgets, LineClass};
+use crate::event::{LogBudgets, LogClass};
 use crate::gate::Gate;
 use crate::hop::KnownState;
 use crate::lineage::Lineage;
@@ -31,7 +31,7 @@
 use crate::routes::{RouteTable, WeightedDealer};
 use crate::settings::SidecarSettings;
 use crate::stop::StopState;
-use crate::vocabulary::Vocabulary;
+use crate::wire_names::WireNames;
 use olivegate_clock as clock;
 
 /// Time after the source's return within which live instances have written lost entries again:
@@ -55,7 +55,7 @@
 
 /// Configuration and directory.
 #[derive(Debug)]
-pub struct Knowledge {
+pub struct ClusterState {
     /// The configuration in force.
     pub configuration: Option<Rc<Configuration>>,
     /// Its routes.
@@ -68,11 +68,11 @@
 pub struct Node {
     settings: RefCell<Rc<SidecarSettings>>,
     /// Header names.
-    pub vocabulary: Vocabulary,
+    pub wire_names: WireNames,
     /// Configuration and directory.
-    pub knowledge: RefCell<Knowledge>,
+    pub cluster: RefCell<ClusterState>,
     /// Told when configuration or directory changed.
-    pub knowledge_changed: Notify,
+    pub cluster_changed: Notify,
     /// Keys and quotas.
     pub access: Access,
     /// Observations of instances.
@@ -112,26 +112,26 @@
     /// Metrics.
     pub metrics: Metrics,
     /// Bound on log lines about requests.
-    pub lines: LineBudgets,
+    pub lines: LogBudgets,
     random: RefCell<SmallRng>,
 }
 
 impl Node {
     /// A node that knows nothing yet.
-    pub fn new(settings: SidecarSettings, vocabulary: Vocabulary) -> Self {
+    pub fn new(settings: SidecarSettings, wire_names: WireNames) -> Self {
         let hold = HoldPolicy {
             rewritten_within: REWRITTEN_WITHIN,
             confirmed_within: CONFIRMED_WITHIN,
             listed_within: settings.heartbeat * LISTED_HEARTBEATS,
             lapses_within: settings.heartbeat * LAPSED_HEARTBEATS + LAPSE_SLACK,
         };
-        let knowledge = Knowledge { configuration: None, routes: None, directory: Directory::new(hold) };
+        let cluster = ClusterState { configuration: None, routes: None, directory: Directory::new(hold) };
         let freshness = Freshness::new(settings.ip());
         Node {
             settings: RefCell::new(Rc::new(settings)),
-            vocabulary,
-            knowledge: RefCell::new(knowledge),
-            knowledge_changed: Notify::new(),
+            wire_names,
+            cluster: RefCell::new(cluster),
+            cluster_changed: Notify::new(),
             access: Access::new(HashSecret(rand::rng().random()), rand::rng().random()),
             balancer: RefCell::default(),
             declared_rates: RefCell::default(),
@@ -151,7 +151,7 @@
             attestations_changed: Notify::new(),
             stop: Rc::default(),
             metrics: Metrics::default(),
-            lines: LineBudgets::default(),
+            lines: LogBudgets::default(),
             random: RefCell::new(SmallRng::from_rng(&mut rand::rng())),
         }
     }
@@ -168,14 +168,14 @@
 
     /// The routes in force; `None` before the first configuration.
     pub fn routes(&self) -> Option<Rc<RouteTable>> {
-        self.knowledge.borrow().routes.clone()
+        self.cluster.borrow().routes.clone()
     }
 
     /// Version of the configuration and state of the directory.
     pub fn known_state(&self) -> KnownState {
-        let knowledge = self.knowledge.borrow();
-        let configuration = knowledge.configuration.as_ref().map(|configuration| configuration.version);
-        KnownState { configuration: configuration.unwrap_or_default(), directory: knowledge.directory.revision() }
+        let cluster = self.cluster.borrow();
+        let configuration = cluster.configuration.as_ref().map(|configuration| configuration.version);
+        KnownState { configuration: configuration.unwrap_or_default(), directory: cluster.directory.revision() }
     }
 
     /// Puts `configuration` in force unless one as new is. True when it is in force now.
@@ -203,18 +203,18 @@
         let is_configured = |name: &str| configuration.routes.iter().any(|route| route.name == name);
         self.levels.borrow_mut().retain(|class| is_configured(class.root_kind.as_str()));
         self.lineage.borrow_mut().retain(is_configured);
-        let mut knowledge = self.knowledge.borrow_mut();
-        knowledge.routes = Some(Rc::new(RouteTable::new(&configuration)));
-        knowledge.configuration = Some(Rc::new(configuration));
-        drop(knowledge);
-        self.knowledge_changed.notify_waiters();
+        let mut cluster = self.cluster.borrow_mut();
+        cluster.routes = Some(Rc::new(RouteTable::new(&configuration)));
+        cluster.configuration = Some(Rc::new(configuration));
+        drop(cluster);
+        self.cluster_changed.notify_waiters();
         true
     }
 
     /// Changes the directory; `change` says whether anything changed.
     pub fn update_directory(&self, from: &str, change: impl FnOnce(&mut Directory) -> bool) {
         let (changed, revision, ready, restarted) = {
-            let directory = &mut self.knowledge.borrow_mut().directory;
+            let directory = &mut self.cluster.borrow_mut().directory;
             let changed = change(directory);
             (changed, directory.revision(), directory.ready_count(), directory.take_restarted())
         };
@@ -227,22 +227,22 @@
         self.metrics.set_state("ready_instances", ready as u64);
         self.gate.follow_directory(self);
         self.note_service_machines();
-        let knowledge = self.knowledge.borrow();
+        let cluster = self.cluster.borrow();
         // An instance that has started again is another one: slowness and failures of the one before
         // would keep requests from it.
         let is_same = |name: &InstanceName| !restarted.contains(name);
-        let is_listed = |name: &InstanceName| knowledge.directory.instance(name).is_some();
+        let is_listed = |name: &InstanceName| cluster.directory.instance(name).is_some();
         self.balancer.borrow_mut().retain(|name| is_listed(name) && is_same(name));
         // One whose entry has gone may still live, and come back with what it said in force.
-        let is_known = |name: &InstanceName| knowledge.directory.standing(name) != Standing::Unknown;
+        let is_known = |name: &InstanceName| cluster.directory.status(name) != InstanceStatus::Unknown;
         self.declared_rates.borrow_mut().retain(|name| is_known(name) && is_same(name));
-        drop(knowledge);
-        self.knowledge_changed.notify_waiters();
+        drop(cluster);
+        self.cluster_changed.notify_waiters();
     }
 
     /// This start of an instance has said that it leaves; `from` tells who has heard it.
     pub fn note_leaving(&self, name: &InstanceName, incarnation: Incarnation, from: &str) {
-        if self.knowledge.borrow().directory.has_said_leaving(name, incarnation) {
+        if self.cluster.borrow().directory.has_announced_leaving(name, incarnation) {
             return;
         }
         log::info!("event=instance_leaving instance={} from={from}", incarnation.start_name(name));
@@ -250,15 +250,15 @@
     }
 
     fn note_service_machines(&self) {
-        let instances = self.knowledge.borrow().directory.ready_instances(&self.settings().service);
+        let instances = self.cluster.borrow().directory.ready_instances(&self.settings().service);
         let machines = instances.iter().map(|instance| instance.address.ip());
         self.service_machines.borrow_mut().note(machines, clock::now());
     }
 
     /// True when the node can serve: it knows routes and instances and does not stop.
     pub fn is_ready(&self) -> bool {
-        let knowledge = self.knowledge.borrow();
-        knowledge.routes.is_some() && knowledge.directory.ready_count() > 0 && !self.stop.is_stopping()
+        let cluster = self.cluster.borrow();
+        cluster.routes.is_some() && cluster.directory.ready_count() > 0 && !self.stop.is_stopping()
     }
 
     /// Notes what a request and its answer held.
@@ -268,8 +268,8 @@
     }
 
     /// True when as many requests are on their way as the machine's memory allows.
-    pub fn is_full(&self) -> bool {
-        let most = self.settings().machine.most_requests_of(self.request_bytes.get() as u64);
+    pub fn is_at_request_limit(&self) -> bool {
+        let most = self.settings().machine.max_requests_of(self.request_bytes.get() as u64);
         self.stop.in_flight() > most
     }
 
@@ -279,7 +279,7 @@
     }
 
     /// True when a line of `class` about this request may be logged now.
-    pub fn may_log(&self, class: LineClass, request_id: &[u8]) -> bool {
+    pub fn may_log(&self, class: LogClass, request_id: &[u8]) -> bool {
         self.lines.take(class, request_id, clock::now())
     }
 }
--- a/crates/sidecar/src/status_port.rs
+++ b/crates/sidecar/src/status_port.rs
@@ -52,7 +52,7 @@
     if path == METRICS_PATH {
         return text(StatusCode::OK, node.metrics.text());
     }
-    if path != node.vocabulary.readiness_path {
+    if path != node.wire_names.readiness_path {
         return text(StatusCode::NOT_FOUND, "no such page\n");
     }
     if node.is_ready() {
@@ -63,7 +63,7 @@
 
 fn not_ready_reason(node: &Node) -> String {
     let known = node.known_state();
-    let ready = node.knowledge.borrow().directory.ready_count();
+    let ready = node.cluster.borrow().directory.ready_count();
     let stopping = node.stop.is_stopping();
     format!("not ready: configuration={} instances={ready} stopping={stopping}\n", known.configuration)
 }
--- a/crates/sidecar/src/stop.rs
+++ b/crates/sidecar/src/stop.rs
@@ -30,7 +30,7 @@
 
 /// A request in flight; dropped when its answer has been sent or it was given up.
 #[derive(Debug)]
-pub struct InFlight(Rc<StopState>);
+pub struct InFlightGuard(Rc<StopState>);
 
 impl StopState {
     /// Begins the stop.
@@ -62,9 +62,9 @@
     }
 
     /// Counts a request until the result is dropped.
-    pub fn enter(self: &Rc<Self>) -> InFlight {
+    pub fn track_request(self: &Rc<Self>) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
-        InFlight(self.clone())
+        InFlightGuard(self.clone())
     }
 
     /// Requests in flight.
@@ -89,7 +89,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.set(self.0.in_flight.get() - 1);
     }
--- a/crates/sidecar/src/vocabulary.rs
+++ b/crates/sidecar/src/wire_names.rs
@@ -2,7 +2,7 @@
 
 /// Header names of one deployment; the adapter of its platform fills them in.
 #[derive(Debug, Clone, Copy)]
-pub struct Vocabulary {
+pub struct WireNames {
     /// Identifies a request; the answer carries it back.
     pub request_id: &'static str,
     /// Milliseconds that the sender will wait.
--- a/crates/sidecar/tests/decisions/attempts.rs
+++ b/crates/sidecar/tests/decisions/attempts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use olivegate_sidecar::edge::attempts::{Attempts, Next, Verdict};
-use olivegate_sidecar::model::RepeatSafety::{self, Safe, Unsafe};
+use olivegate_sidecar::model::RetrySafety::{self, Safe, Unsafe};
 use olivegate_sidecar::reply::{Failure, FailureReason};
 use olivegate_types::{InstanceName, Refusal, RefusalReason};
 use proptest::prelude::*;
@@ -23,7 +23,7 @@
 #[case::unsafe_may_not(Unsafe, Failure::unknown(FailureReason::Broken), Next::GiveUp(Verdict::Unknown))]
 #[case::not_run_is_sure(Unsafe, Failure::not_run(FailureReason::WrongInstance), Next::TryAnother)]
 #[case::not_sent_is_free(Unsafe, Failure::not_sent(FailureReason::Connect), Next::TryAnother)]
-fn after_a_failure(#[case] safety: RepeatSafety, #[case] failure: Failure, #[case] next: Next) {
+fn after_a_failure(#[case] safety: RetrySafety, #[case] failure: Failure, #[case] next: Next) {
     assert_eq!(Attempts::new(safety, 2).on_failed(failure), next);
 }
 
--- a/crates/sidecar/tests/decisions/directory.rs
+++ b/crates/sidecar/tests/decisions/directory.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use olivegate_sidecar::directory::hold::HoldPolicy;
-use olivegate_sidecar::directory::{Directory, Standing};
+use olivegate_sidecar::directory::{Directory, InstanceStatus};
 use olivegate_sidecar::model::{Incarnation, Instance, InstanceState, Revision};
 use olivegate_sidecar::source::{Change, ListedInstance};
 use olivegate_types::{InstanceName, Moment, ServiceName, ZoneName};
@@ -53,7 +53,7 @@
     assert_eq!(ready(&directory), ["a", "b"]);
     assert!(directory.apply_snapshot(&both[1..], Revision::of(3), at(10)));
     assert_eq!(ready(&directory), ["b"]);
-    assert_eq!(directory.standing(&InstanceName::new("a")), Standing::Gone);
+    assert_eq!(directory.status(&InstanceName::new("a")), InstanceStatus::Gone);
 }
 
 /// A node that notices late that the source is back, or is the only one that it does not answer,
@@ -94,7 +94,7 @@
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
     directory.note_source_away();
     directory.note_source_answered(at(1_000));
-    let gone = Change::InstanceGone { name: InstanceName::new("a"), revision: Revision::of(2) };
+    let gone = Change::InstanceRemoved { name: InstanceName::new("a"), revision: Revision::of(2) };
     directory.apply_change(&gone, at(3_100));
     assert!(ready(&directory).is_empty());
 }
@@ -106,7 +106,7 @@
     directory.note_source_away();
     directory.note_source_answered(at(10));
     directory.apply_snapshot(&[], Revision::of(2), at(20));
-    assert_eq!(directory.standing(&InstanceName::new("a")), Standing::Gone);
+    assert_eq!(directory.status(&InstanceName::new("a")), InstanceStatus::Gone);
 }
 
 #[rstest]
@@ -115,10 +115,10 @@
     directory.apply_snapshot(&[listed("a", InstanceState::Draining, 9)], Revision::of(9), at(0));
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 4)], Revision::of(4), at(1));
     directory.apply_change(&Change::Instance(listed("a", InstanceState::Ready, 5)), at(2));
-    assert_eq!(directory.standing(&InstanceName::new("a")), Standing::Draining);
-    let gone = Change::InstanceGone { name: InstanceName::new("a"), revision: Revision::of(6) };
+    assert_eq!(directory.status(&InstanceName::new("a")), InstanceStatus::Draining);
+    let gone = Change::InstanceRemoved { name: InstanceName::new("a"), revision: Revision::of(6) };
     directory.apply_change(&gone, at(3));
-    assert_eq!(directory.standing(&InstanceName::new("a")), Standing::Draining);
+    assert_eq!(directory.status(&InstanceName::new("a")), InstanceStatus::Draining);
 }
 
 #[rstest]
@@ -152,8 +152,10 @@
     directory.apply_snapshot(&three, Revision::of(3), at(0));
     let mut other = Directory::new(POLICY);
     other.apply_copy(&directory.copy_since(Revision::default(), at(0)), at(0));
-    directory
-        .apply_change(&Change::InstanceGone { name: InstanceName::new("b"), revision: Revision::of(4) }, at(10));
+    directory.apply_change(
+        &Change::InstanceRemoved { name: InstanceName::new("b"), revision: Revision::of(4) },
+        at(10),
+    );
     directory.apply_change(&Change::Instance(listed("d", InstanceState::Ready, 5)), at(10));
     directory.advance(Revision::of(5));
     let changes = directory.copy_since(Revision::of(3), at(0));
@@ -166,8 +168,10 @@
 fn a_removal_that_is_no_longer_remembered_needs_everything() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
-    directory
-        .apply_change(&Change::InstanceGone { name: InstanceName::new("a"), revision: Revision::of(2) }, at(10));
+    directory.apply_change(
+        &Change::InstanceRemoved { name: InstanceName::new("a"), revision: Revision::of(2) },
+        at(10),
+    );
     directory.advance(Revision::of(2));
     assert_eq!(directory.copy_since(Revision::of(1), at(0)).base, Some(Revision::of(1)));
     directory.expire(at(120_000));
@@ -206,7 +210,7 @@
 fn without_a() -> Directory {
     let mut directory = Directory::new(WITH_GATES);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
-    let gone = Change::InstanceGone { name: InstanceName::new("a"), revision: Revision::of(2) };
+    let gone = Change::InstanceRemoved { name: InstanceName::new("a"), revision: Revision::of(2) };
     assert!(directory.apply_change(&gone, at(100)));
     directory.advance(Revision::of(2));
     directory
@@ -227,7 +231,7 @@
     assert!(directory.confirm_gone(&name, at(110)));
     assert!(ready(&directory).is_empty());
     let mut directory = without_a();
-    assert!(directory.drop_held(&name, at(110)));
+    assert!(directory.remove_unlisted(&name, at(110)));
     assert!(ready(&directory).is_empty());
 }
 
@@ -265,7 +269,7 @@
     assert!(directory.attest(instance("a", InstanceState::Ready), at(4_000), at(1_000)));
     assert_eq!(ready(&directory), ["a"]);
     assert!(!directory.attest(instance("a", InstanceState::Ready), at(4_010), at(1_010)), "heard again: no news");
-    let gone = Change::InstanceGone { name: InstanceName::new("a"), revision: Revision::of(2) };
+    let gone = Change::InstanceRemoved { name: InstanceName::new("a"), revision: Revision::of(2) };
     directory.apply_change(&gone, at(1_100));
     directory.apply_snapshot(&[], Revision::of(3), at(1_200));
     assert_eq!(ready(&directory), ["a"], "the gate knows better than the source");
@@ -303,7 +307,7 @@
     directory.expire(at(1_000));
     assert!(directory.unlisted_at(address).is_some(), "its gate may still speak");
     let mut directory = without_a();
-    directory.drop_held(&InstanceName::new("a"), at(200));
+    directory.remove_unlisted(&InstanceName::new("a"), at(200));
     assert!(directory.unlisted_at(address).is_none(), "another instance answered there");
     directory.apply_change(&Change::Instance(listed("b", InstanceState::Ready, 3)), at(300));
     assert!(directory.unlisted_at(address).is_none(), "one is listed");
@@ -364,14 +368,14 @@
                     let state = if draining { InstanceState::Draining } else { InstanceState::Ready };
                     let entry = listed(&format!("i-{name}-{}", model.revision), state, model.revision);
                     if let Some(old) = model.entries.insert(name, entry.clone()) {
-                        model.history.push(Change::InstanceGone { name: old.instance.name, revision: Revision::of(model.revision) });
+                        model.history.push(Change::InstanceRemoved { name: old.instance.name, revision: Revision::of(model.revision) });
                     }
                     model.history.push(Change::Instance(entry));
                 }
                 Step::Remove(name) => {
                     if let Some(old) = model.entries.remove(&name) {
                         model.revision += 1;
-                        model.history.push(Change::InstanceGone { name: old.instance.name, revision: Revision::of(model.revision) });
+                        model.history.push(Change::InstanceRemoved { name: old.instance.name, revision: Revision::of(model.revision) });
                     }
                 }
                 Step::ForgetHistory => {
@@ -415,7 +419,7 @@
                     if let Some(old) = model.entries.remove(&name) {
                         model.revision += 1;
                         let revision = Revision::of(model.revision);
-                        reader.apply_change(&Change::InstanceGone { name: old.instance.name, revision }, now);
+                        reader.apply_change(&Change::InstanceRemoved { name: old.instance.name, revision }, now);
                     }
                 }
                 _ => {
@@ -460,7 +464,7 @@
                     if let Some(old) = model.entries.remove(&name) {
                         model.revision += 1;
                         let revision = Revision::of(model.revision);
-                        reader.apply_change(&Change::InstanceGone { name: old.instance.name, revision }, now);
+                        reader.apply_change(&Change::InstanceRemoved { name: old.instance.name, revision }, now);
                     }
                 }
                 Step::ReadAll | Step::ForgetHistory => {
--- a/crates/sidecar/tests/decisions/epochs.rs
+++ b/crates/sidecar/tests/decisions/epochs.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use olivegate_sidecar::directory::hold::HoldPolicy;
-use olivegate_sidecar::directory::{Directory, Standing};
+use olivegate_sidecar::directory::{Directory, InstanceStatus};
 use olivegate_sidecar::model::{Epoch, Incarnation, Instance, InstanceState, Revision};
 use olivegate_sidecar::source::{Change, ListedInstance};
 use olivegate_types::{InstanceName, Moment, ServiceName, ZoneName};
@@ -84,19 +84,19 @@
     directory.apply_change(&Change::Instance(leaving_entry("b", revision(0, 21))), at(10));
     let both = [ready_entry("a", revision(1, 1)), ready_entry("b", revision(1, 2))];
     directory.apply_snapshot(&both, revision(1, 5), at(100));
-    assert_eq!(directory.standing(&name("b")), Standing::Draining);
+    assert_eq!(directory.status(&name("b")), InstanceStatus::Draining);
     directory.apply_change(&Change::Instance(ready_entry("b", revision(1, 7))), at(200));
-    assert_eq!(directory.standing(&name("b")), Standing::Draining, "one start never takes its leaving back");
+    assert_eq!(directory.status(&name("b")), InstanceStatus::Draining, "one start never takes its leaving back");
     let again = listed_of("b", InstanceState::Ready, FIRST + 9_000, revision(1, 8));
     directory.apply_change(&Change::Instance(again), at(300));
-    assert_eq!(directory.standing(&name("b")), Standing::Ready, "it has started again");
+    assert_eq!(directory.status(&name("b")), InstanceStatus::Ready, "it has started again");
 }
 
 #[rstest]
 fn who_left_and_went_is_not_ready_again_by_the_copy() {
     let mut directory = with_a_and_b();
     directory.apply_change(&Change::Instance(leaving_entry("b", revision(0, 21))), at(10));
-    directory.apply_change(&Change::InstanceGone { name: name("b"), revision: revision(0, 22) }, at(20));
+    directory.apply_change(&Change::InstanceRemoved { name: name("b"), revision: revision(0, 22) }, at(20));
     let both = [ready_entry("a", revision(1, 1)), ready_entry("b", revision(1, 2))];
     directory.apply_snapshot(&both, revision(1, 5), at(100));
     directory.expire(at(20_000));
@@ -106,11 +106,11 @@
 /// Its entry had gone without a word; the copy lists it, and it may be one that nobody renews.
 fn with_b_gone_and_listed_by_the_copy() -> Directory {
     let mut directory = with_a_and_b();
-    directory.apply_change(&Change::InstanceGone { name: name("b"), revision: revision(0, 21) }, at(0));
+    directory.apply_change(&Change::InstanceRemoved { name: name("b"), revision: revision(0, 21) }, at(0));
     assert!(directory.expire(at(700)));
     let both = [ready_entry("a", revision(1, 1)), ready_entry("b", revision(1, 2))];
     directory.apply_snapshot(&both, revision(1, 5), at(1_000));
-    assert_eq!(directory.standing(&name("b")), Standing::Gone);
+    assert_eq!(directory.status(&name("b")), InstanceStatus::Gone);
     directory
 }
 
@@ -132,7 +132,7 @@
 #[rstest]
 fn an_entry_that_had_gone_goes_again_unused() {
     let mut directory = with_b_gone_and_listed_by_the_copy();
-    directory.apply_change(&Change::InstanceGone { name: name("b"), revision: revision(1, 6) }, at(3_000));
+    directory.apply_change(&Change::InstanceRemoved { name: name("b"), revision: revision(1, 6) }, at(3_000));
     assert!(!directory.expire(at(9_000)));
     assert_eq!(ready(&directory), ["a"]);
 }
@@ -164,7 +164,7 @@
     assert_eq!(copy.base, None, "nothing of an earlier epoch is a base");
     assert!(other.apply_copy(&copy, at(100)));
     assert_eq!((ready(&other), other.revision()), (vec!["a".to_string(), "c".to_string()], revision(1, 3)));
-    assert_eq!(other.standing(&name("b")), Standing::Draining);
+    assert_eq!(other.status(&name("b")), InstanceStatus::Draining);
     assert!(other.expire(at(2_100)), "c was not written again");
     assert_eq!(ready(&other), ["a"]);
 }
@@ -188,7 +188,7 @@
     assert_eq!(directory.take_restarted(), [name("a")]);
     let both = [leaving_entry("a", revision(1, 3)), ready_entry("b", revision(1, 2))];
     directory.apply_snapshot(&both, revision(1, 3), at(100));
-    assert_eq!(directory.standing(&name("a")), Standing::Ready);
+    assert_eq!(directory.status(&name("a")), InstanceStatus::Ready);
     assert_eq!(directory.instance(&name("a")).unwrap().incarnation, Incarnation(FIRST + 5_000));
 }
 
@@ -196,7 +196,7 @@
 fn one_that_left_and_started_again_under_its_name_is_attested() {
     let mut directory = with_a_and_b();
     directory.apply_change(&Change::Instance(leaving_entry("a", revision(0, 21))), at(10));
-    directory.apply_change(&Change::InstanceGone { name: name("a"), revision: revision(0, 22) }, at(20));
+    directory.apply_change(&Change::InstanceRemoved { name: name("a"), revision: revision(0, 22) }, at(20));
     let before = ready_entry("a", revision(0, 1)).instance;
     assert!(!directory.attest(before, at(3_000), at(30)));
     let again = listed_of("a", InstanceState::Ready, FIRST + 5_000, revision(0, 1)).instance;
@@ -305,10 +305,10 @@
                 Step::Fetch => {
                     let known: Vec<InstanceName> = (0..4).map(|who| name(&format!("i-{who}"))).collect();
                     let left: Vec<&InstanceName> =
-                        known.iter().filter(|who| follower.standing(who) == Standing::Draining).collect();
+                        known.iter().filter(|who| follower.status(who) == InstanceStatus::Draining).collect();
                     follower.apply_copy(&reader.copy_since(follower.revision(), now), now);
                     for who in left {
-                        prop_assert_ne!(follower.standing(who), Standing::Ready);
+                        prop_assert_ne!(follower.status(who), InstanceStatus::Ready);
                     }
                 }
             }
--- a/crates/sidecar/tests/decisions/events.rs
+++ b/crates/sidecar/tests/decisions/events.rs
@@ -1,14 +1,14 @@
 //! Bounds on log lines about requests.
 
-use olivegate_sidecar::event::{LineBudgets, LineClass, is_sampled};
+use olivegate_sidecar::event::{LogBudgets, LogClass, is_sampled};
 use olivegate_types::Moment;
 use rstest::rstest;
 
 #[rstest]
-#[case(LineClass::Refusal)]
-#[case(LineClass::Failure)]
-fn a_surge_is_bounded_by_the_second(#[case] class: LineClass) {
-    let budgets = LineBudgets::default();
+#[case(LogClass::Refusal)]
+#[case(LogClass::Failure)]
+fn a_surge_is_bounded_by_the_second(#[case] class: LogClass) {
+    let budgets = LogBudgets::default();
     let lines_of = |second: u64| {
         let taken = (0..10_000_u64).filter(|number| {
             budgets.take(
@@ -27,17 +27,17 @@
 
 #[rstest]
 fn refusals_leave_room_for_failures() {
-    let budgets = LineBudgets::default();
+    let budgets = LogBudgets::default();
     let now = Moment::from_millis(10);
-    while budgets.take(LineClass::Refusal, b"r", now) {}
-    assert!(budgets.take(LineClass::Failure, b"r", now));
+    while budgets.take(LogClass::Refusal, b"r", now) {}
+    assert!(budgets.take(LogClass::Failure, b"r", now));
 }
 
 #[rstest]
 fn routine_lines_are_for_sampled_requests_only() {
-    let budgets = LineBudgets::default();
+    let budgets = LogBudgets::default();
     let sampled = (0..).map(|number: u32| number.to_string()).find(|id| is_sampled(id.as_bytes())).unwrap();
     let other = (0..).map(|number: u32| number.to_string()).find(|id| !is_sampled(id.as_bytes())).unwrap();
-    assert!(budgets.take(LineClass::Routine, sampled.as_bytes(), Moment::START));
-    assert!(!budgets.take(LineClass::Routine, other.as_bytes(), Moment::START));
+    assert!(budgets.take(LogClass::Routine, sampled.as_bytes(), Moment::START));
+    assert!(!budgets.take(LogClass::Routine, other.as_bytes(), Moment::START));
 }
--- a/crates/sidecar/tests/decisions/idle_reuse.rs
+++ b/crates/sidecar/tests/decisions/idle_reuse.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use olivegate_sidecar::gate::idle_reuse::RestTrust;
-use olivegate_sidecar::model::RepeatSafety::{Safe, Unsafe};
+use olivegate_sidecar::model::RetrySafety::{Safe, Unsafe};
 use olivegate_types::Moment;
 use rstest::rstest;
 
--- a/crates/sidecar/tests/decisions/routes.rs
+++ b/crates/sidecar/tests/decisions/routes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use olivegate_sidecar::model::{
-    ClientLimits, Configuration, ConfigurationVersion, Millis, RepeatSafety, Route, WeightedPart,
+    ClientLimits, Configuration, ConfigurationVersion, Millis, RetrySafety, Route, WeightedService,
 };
 use olivegate_sidecar::routes::{RouteTable, WeightedDealer};
 use olivegate_types::ServiceName;
@@ -11,14 +11,16 @@
 use rstest::rstest;
 
 fn route(name: &str, host: &str, path_prefix: &str, weights: &[u32]) -> Route {
-    let part =
-        |(index, &weight): (usize, &u32)| WeightedPart { service: ServiceName::new(format!("s{index}")), weight };
+    let part = |(index, &weight): (usize, &u32)| WeightedService {
+        service: ServiceName::new(format!("s{index}")),
+        weight,
+    };
     Route {
         name: name.into(),
         host: host.into(),
         path_prefix: path_prefix.into(),
-        parts: weights.iter().enumerate().map(part).collect(),
-        safety: RepeatSafety::Safe,
+        services: weights.iter().enumerate().map(part).collect(),
+        safety: RetrySafety::Safe,
         timeout: None,
         target_latency: Millis(100),
         priority: 0,
@@ -59,7 +61,7 @@
         let mut counts = vec![0_usize; weights.len()];
         for _ in 0..requests {
             let service = dealer.deal(&route).unwrap();
-            let index = route.parts.iter().position(|part| part.service == service).unwrap();
+            let index = route.services.iter().position(|part| part.service == service).unwrap();
             counts[index] += 1;
         }
         let total: u32 = weights.iter().sum();
--- a/crates/sidecar/tests/decisions/settings.rs
+++ b/crates/sidecar/tests/decisions/settings.rs
@@ -41,9 +41,9 @@
     let of = |text: &str| SidecarSettings::from_toml(&SETTINGS.replace("memory_mb = 260", text)).unwrap().machine;
     let small = of("memory_mb = 64\nmax_descriptors = 512");
     let large = of("memory_mb = 260\nmax_descriptors = 4100");
-    assert_eq!((small.most_requests(), large.most_requests()), (128, 520));
-    assert_eq!((small.most_requests_of(2 << 10), small.most_requests_of(64 << 10)), (1_024, 128));
-    assert_eq!((small.most_connections(), large.most_connections()), (53, 950));
+    assert_eq!((small.max_requests(), large.max_requests()), (128, 520));
+    assert_eq!((small.max_requests_of(2 << 10), small.max_requests_of(64 << 10)), (1_024, 128));
+    assert_eq!((small.max_connections(), large.max_connections()), (53, 950));
 }
 
 #[rstest]
--- a/crates/sidecar/tests/decisions/shedding.rs
+++ b/crates/sidecar/tests/decisions/shedding.rs
@@ -6,7 +6,7 @@
 use olivegate_sidecar::gate::shedding::Sheds;
 use olivegate_sidecar::hop::{Offer, OfferedBody, Root};
 use olivegate_sidecar::importance::importance_of;
-use olivegate_sidecar::model::RepeatSafety;
+use olivegate_sidecar::model::RetrySafety;
 use olivegate_types::{InstanceName, Moment, SheddingRank};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -41,7 +41,7 @@
         target_latency_ms: 300,
         root,
         hop,
-        safety: RepeatSafety::Safe,
+        safety: RetrySafety::Safe,
         is_repeat: false,
         ended: Vec::new(),
         inherited: 0.0,
--- a/crates/sidecar/tests/decisions/waits.rs
+++ b/crates/sidecar/tests/decisions/waits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use olivegate_quota::Tolerance;
-use olivegate_sidecar::follow::watch::{look_interval, waits};
+use olivegate_sidecar::follow::watch::{check_interval, wait_range};
 use olivegate_sidecar::settings::Bounds;
 use rstest::rstest;
 
@@ -34,7 +34,7 @@
 fn a_change_that_no_waiting_call_is_told_is_known_in_time(#[case] contact_ms: u64, #[case] drain_ms: u64) {
     let bounds = bounds(contact_ms, drain_ms);
     // Written as the call before ended, told to nobody, found when the next call ends.
-    assert!(DEAF + waits(&bounds).end + PASSED_ON <= bounds.drain, "{:?}", waits(&bounds));
+    assert!(DEAF + wait_range(&bounds).end + PASSED_ON <= bounds.drain, "{:?}", wait_range(&bounds));
 }
 
 /// Half of the time that is allowed stays for nodes that are late.
@@ -48,7 +48,11 @@
     #[case] drain_ms: u64,
 ) {
     let bounds = bounds(contact_ms, drain_ms);
-    assert!(look_interval(&bounds) + THREE_CALLS + PASSED_ON <= bounds.drain / 2, "{:?}", look_interval(&bounds));
+    assert!(
+        check_interval(&bounds) + THREE_CALLS + PASSED_ON <= bounds.drain / 2,
+        "{:?}",
+        check_interval(&bounds)
+    );
 }
 
 /// Calls that end before a look is due need none.
@@ -58,5 +62,5 @@
 #[case::larger(4_000, 3_000)]
 fn a_call_that_ends_in_time_costs_no_look(#[case] contact_ms: u64, #[case] drain_ms: u64) {
     let bounds = bounds(contact_ms, drain_ms);
-    assert!(waits(&bounds).end < look_interval(&bounds), "{:?}", waits(&bounds));
+    assert!(wait_range(&bounds).end < check_interval(&bounds), "{:?}", wait_range(&bounds));
 }
--- a/crates/sidecar/tests/path/answers.rs
+++ b/crates/sidecar/tests/path/answers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use olivegate_sidecar::model::RepeatSafety::{Safe, Unsafe};
+use olivegate_sidecar::model::RetrySafety::{Safe, Unsafe};
 use rstest::rstest;
 
 use crate::client::{Client, get, post};
--- a/crates/sidecar/tests/path/asking.rs
+++ b/crates/sidecar/tests/path/asking.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use rstest::rstest;
 
 use crate::client::{Client, get};
--- a/crates/sidecar/tests/path/calls.rs
+++ b/crates/sidecar/tests/path/calls.rs
@@ -6,7 +6,7 @@
 use olivegate_clock as clock;
 use olivegate_sidecar::hop::class_of;
 use olivegate_sidecar::importance::importance_of;
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use olivegate_sidecar::state::Node;
 use olivegate_types::ServiceName;
 use rstest::rstest;
--- a/crates/sidecar/tests/path/configuration.rs
+++ b/crates/sidecar/tests/path/configuration.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use olivegate_sidecar::model::InstanceState;
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use rstest::rstest;
 
 use crate::client::{Client, get};
@@ -119,7 +119,7 @@
         leaving.state = InstanceState::Draining;
         fleet.source.list(leaving);
         let service = olivegate_types::ServiceName::new("books");
-        let left = || node.knowledge.borrow().directory.ready_instances(&service).len();
+        let left = || node.cluster.borrow().directory.ready_instances(&service).len();
         eventually("one instance is left", || left() == 1).await;
         let before = first.runs();
         let mut client = Client::connect(fleet.outbound(1)).await;
--- a/crates/sidecar/tests/path/connections.rs
+++ b/crates/sidecar/tests/path/connections.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use rstest::rstest;
 use tokio::net::TcpStream;
 
@@ -45,7 +45,7 @@
 fn connections_of_clients_at_rest_make_room_for_a_new_one() {
     run(async {
         let fleet = two_machines().await;
-        let most = fleet.machine_limits().most_connections();
+        let most = fleet.machine_limits().max_connections();
         let _silent = silent_connections(fleet.outbound(1), most).await;
         assert!(is_served(&fleet).await);
     });
@@ -55,7 +55,7 @@
 fn connections_of_other_nodes_at_rest_make_room_for_a_new_one() {
     run(async {
         let fleet = two_machines().await;
-        let most = fleet.machine_limits().most_connections();
+        let most = fleet.machine_limits().max_connections();
         let _silent = silent_connections(fleet.inbound(2), most).await;
         assert!(is_served(&fleet).await);
     });
--- a/crates/sidecar/tests/path/crashing.rs
+++ b/crates/sidecar/tests/path/crashing.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use olivegate_sidecar::model::RepeatSafety::{Safe, Unsafe};
+use olivegate_sidecar::model::RetrySafety::{Safe, Unsafe};
 use olivegate_sidecar::model::{InstanceState, Route};
 use rstest::rstest;
 use tokio::task::spawn_local;
--- a/crates/sidecar/tests/path/failing.rs
+++ b/crates/sidecar/tests/path/failing.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use olivegate_sidecar::model::RepeatSafety::{Safe, Unsafe};
+use olivegate_sidecar::model::RetrySafety::{Safe, Unsafe};
 use olivegate_types::InstanceName;
 use rstest::rstest;
 
--- a/crates/sidecar/tests/path/gates.rs
+++ b/crates/sidecar/tests/path/gates.rs
@@ -5,7 +5,7 @@
 
 use futures::{SinkExt, StreamExt};
 use olivegate_sidecar::hop::{self, EdgeMessage, GateMessage};
-use olivegate_sidecar::model::RepeatSafety::{Safe, Unsafe};
+use olivegate_sidecar::model::RetrySafety::{Safe, Unsafe};
 use rstest::rstest;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
--- a/crates/sidecar/tests/path/instance.rs
+++ b/crates/sidecar/tests/path/instance.rs
@@ -15,7 +15,7 @@
 use tokio_util::codec::FramedRead;
 
 use crate::client::Client;
-use crate::support::{HEALTH_PATH, VOCABULARY};
+use crate::support::{HEALTH_PATH, WIRE_NAMES};
 
 /// What a test instance does with a request.
 #[derive(Clone)]
@@ -48,7 +48,7 @@
     }
 
     pub fn id(&self) -> String {
-        self.field(VOCABULARY.request_id)
+        self.field(WIRE_NAMES.request_id)
     }
 
     /// True for the question whether the instance is healthy, which is no request of a caller.
--- a/crates/sidecar/tests/path/keys.rs
+++ b/crates/sidecar/tests/path/keys.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use olivegate_authentication::Tenant;
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use olivegate_sidecar::model::{Configuration, Route};
 use olivegate_sidecar::state::Node;
 use rstest::rstest;
--- a/crates/sidecar/tests/path/leaving.rs
+++ b/crates/sidecar/tests/path/leaving.rs
@@ -6,7 +6,7 @@
 
 use olivegate_sidecar::model::Incarnation;
 use olivegate_sidecar::model::InstanceState::Ready;
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use rstest::rstest;
 use tokio::time::Instant;
 
--- a/crates/sidecar/tests/path/limits.rs
+++ b/crates/sidecar/tests/path/limits.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use olivegate_sidecar::model::Instance;
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use rstest::rstest;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
--- a/crates/sidecar/tests/path/quotas.rs
+++ b/crates/sidecar/tests/path/quotas.rs
@@ -4,7 +4,7 @@
 
 use olivegate_authentication::Tenant;
 use olivegate_sidecar::model::Configuration;
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use rstest::rstest;
 
 use crate::client::{Client, keyed};
--- a/crates/sidecar/tests/path/replaced.rs
+++ b/crates/sidecar/tests/path/replaced.rs
@@ -16,8 +16,8 @@
 use std::time::Duration;
 
 use olivegate_sidecar::model::InstanceState::Ready;
-use olivegate_sidecar::model::RepeatSafety::{Safe, Unsafe};
-use olivegate_sidecar::model::{Incarnation, RepeatSafety};
+use olivegate_sidecar::model::RetrySafety::{Safe, Unsafe};
+use olivegate_sidecar::model::{Incarnation, RetrySafety};
 use rstest::rstest;
 
 use crate::client::{Client, get, post};
@@ -75,7 +75,7 @@
     Fleet::ready(&fleet.start(EDGE, "desk").await).await;
 }
 
-fn request(safety: RepeatSafety, number: usize) -> String {
+fn request(safety: RetrySafety, number: usize) -> String {
     match safety {
         Safe => get("/safe/", &format!("r{number}")),
         Unsafe => post("/once/", &format!("r{number}"), "body"),
@@ -83,7 +83,7 @@
 }
 
 /// Asks for many things at the same time; how many were served.
-async fn served_at_once(fleet: &Fleet, safety: RepeatSafety) -> usize {
+async fn served_at_once(fleet: &Fleet, safety: RetrySafety) -> usize {
     let ask = |number| {
         let (edge, text) = (fleet.outbound(EDGE), request(safety, number));
         async move {
@@ -137,7 +137,7 @@
 #[rstest]
 fn no_request_goes_to_an_instance_whose_end_its_gate_has_seen(
     #[values(Next::NewName, Next::SameName, Next::SameNameNewStart)] next: Next,
-    #[values(Safe, Unsafe)] safety: RepeatSafety,
+    #[values(Safe, Unsafe)] safety: RetrySafety,
 ) {
     run(async move {
         let fleet = new_fleet();
@@ -171,7 +171,7 @@
 /// and allows no repeats.
 #[rstest]
 fn gates_that_start_beside_other_instances_than_listed_send_them_nothing_of_the_others(
-    #[values(Safe, Unsafe)] safety: RepeatSafety,
+    #[values(Safe, Unsafe)] safety: RetrySafety,
     #[values(false, true)] source_is_away: bool,
 ) {
     run(async move {
--- a/crates/sidecar/tests/path/requests.rs
+++ b/crates/sidecar/tests/path/requests.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use olivegate_sidecar::model::RepeatSafety::{Safe, Unsafe};
+use olivegate_sidecar::model::RetrySafety::{Safe, Unsafe};
 use rstest::rstest;
 use tokio::time::Instant;
 
--- a/crates/sidecar/tests/path/restarted.rs
+++ b/crates/sidecar/tests/path/restarted.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use olivegate_sidecar::model::InstanceState::{Draining, Ready};
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use olivegate_sidecar::model::{Incarnation, InstanceState};
 use rstest::rstest;
 use tokio::task::spawn_local;
--- a/crates/sidecar/tests/path/restored.rs
+++ b/crates/sidecar/tests/path/restored.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use olivegate_sidecar::model::InstanceState::{Draining, Ready};
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use olivegate_sidecar::source::Snapshot;
 use olivegate_sidecar::state::Node;
 use rstest::rstest;
--- a/crates/sidecar/tests/path/source.rs
+++ b/crates/sidecar/tests/path/source.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use olivegate_sidecar::model::InstanceState;
-use olivegate_sidecar::model::RepeatSafety::Safe;
+use olivegate_sidecar::model::RetrySafety::Safe;
 use olivegate_sidecar::state::Node;
 use olivegate_types::ServiceName;
 use rstest::rstest;
@@ -71,7 +71,7 @@
         fleet.source.set_fault(Fault::OldReadingsOnly);
         let instance = TestInstance::start(fleet.instance_address(2), served).await;
         let node = fleet.start(2, BOOKS).await;
-        eventually("it has read an old list", || node.knowledge.borrow().directory.machines().count() > 2).await;
+        eventually("it has read an old list", || node.cluster.borrow().directory.machines().count() > 2).await;
         tokio::time::sleep(Duration::from_millis(800)).await;
         assert!(!node.is_ready());
         let mut client = Client::connect(fleet.outbound(2)).await;
@@ -131,7 +131,7 @@
         way.set_fault(fault);
         fleet.source.unlist("books-2");
         eventually("it is gone", || {
-            edge.knowledge.borrow().directory.ready_instances(&ServiceName::new(BOOKS)).is_empty()
+            edge.cluster.borrow().directory.ready_instances(&ServiceName::new(BOOKS)).is_empty()
         })
         .await;
         let mut client = Client::connect(fleet.outbound(1)).await;
--- a/crates/sidecar/tests/path/support.rs
+++ b/crates/sidecar/tests/path/support.rs
@@ -13,20 +13,20 @@
 use olivegate_quarantine::QuarantinePolicy;
 use olivegate_sidecar::model::{
     ClientLimits, Configuration, ConfigurationVersion, Epoch, Incarnation, Instance, InstanceState, Millis,
-    RepeatSafety, Revision, Route, WeightedPart,
+    RetrySafety, Revision, Route, WeightedService,
 };
 use olivegate_sidecar::settings::{Bounds, ListenAddresses, MachineLimits};
 use olivegate_sidecar::source::{
-    Changes, ConfigurationReading, InstanceList, ListedInstance, Recency, Snapshot, Source, SourceError,
+    Changes, ConfigurationReading, InstanceList, ListedInstance, ReadConsistency, Snapshot, Source, SourceError,
 };
 use olivegate_sidecar::state::Node;
-use olivegate_sidecar::{SidecarSettings, Vocabulary};
+use olivegate_sidecar::{SidecarSettings, WireNames};
 use olivegate_types::{InstanceName, NodeName, ServiceName, TenantName, ZoneName};
 use tokio::task::LocalSet;
 
 use crate::lateness::OwnLateness;
 
-pub const VOCABULARY: Vocabulary = Vocabulary {
+pub const WIRE_NAMES: WireNames = WireNames {
     request_id: "x-id",
     time_left_ms: "x-time",
     expected_instance: "x-expected",
@@ -203,7 +203,7 @@
             machine: self.machine_limits(),
             quarantine: self.quarantine,
         };
-        olivegate_sidecar::app::start(settings, VOCABULARY, source).await.unwrap()
+        olivegate_sidecar::app::start(settings, WIRE_NAMES, source).await.unwrap()
     }
 
     /// Waits until `node` is ready.
@@ -223,12 +223,12 @@
     panic!("does not happen: {what}");
 }
 
-pub fn route(path_prefix: &str, service: &str, safety: RepeatSafety) -> Route {
+pub fn route(path_prefix: &str, service: &str, safety: RetrySafety) -> Route {
     Route {
         name: format!("to-{service}{path_prefix}"),
         host: "shop".into(),
         path_prefix: path_prefix.into(),
-        parts: vec![WeightedPart { service: ServiceName::new(service), weight: 1 }],
+        services: vec![WeightedService { service: ServiceName::new(service), weight: 1 }],
         safety,
         timeout: Some(Millis(2_000)),
         target_latency: Millis(1_000),
@@ -239,7 +239,7 @@
 }
 
 pub fn configuration(version: u64, routes: Vec<Route>) -> Configuration {
-    let services = routes.iter().flat_map(|route| &route.parts).map(|part| part.service.clone());
+    let services = routes.iter().flat_map(|route| &route.services).map(|part| part.service.clone());
     let health_paths = services.map(|service| (service, HEALTH_PATH.to_string())).collect();
     Configuration {
         health_paths,
@@ -341,8 +341,8 @@
 }
 
 impl Source for TestSource {
-    async fn instances(&self, recency: Recency, limit: Duration) -> Result<InstanceList, SourceError> {
-        if recency == Recency::Latest || self.fault.get() != Fault::OldReadingsOnly {
+    async fn instances(&self, consistency: ReadConsistency, limit: Duration) -> Result<InstanceList, SourceError> {
+        if consistency == ReadConsistency::Latest || self.fault.get() != Fault::OldReadingsOnly {
             self.call(limit).await?;
         }
         Ok(self.snapshot.borrow().list.clone())
@@ -362,7 +362,7 @@
         let revision = self.snapshot.borrow().list.revision;
         if revision.epoch != after.epoch {
             let knows_it = revision.number >= after.number;
-            return Err(if knows_it { SourceError::EpochChanged } else { SourceError::HistoryGone });
+            return Err(if knows_it { SourceError::EpochChanged } else { SourceError::HistoryCompacted });
         }
         while is_deaf || self.snapshot.borrow().list.revision <= after {
             if tokio::time::Instant::now() >= until {
@@ -370,7 +370,7 @@
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        Err(SourceError::HistoryGone)
+        Err(SourceError::HistoryCompacted)
     }
 
     async fn configuration(&self, limit: Duration) -> Result<ConfigurationReading, SourceError> {
@@ -380,7 +380,7 @@
         Ok(ConfigurationReading { configuration, revision: snapshot.list.revision })
     }
 
-    async fn position(&self, limit: Duration) -> Result<Revision, SourceError> {
+    async fn latest_revision(&self, limit: Duration) -> Result<Revision, SourceError> {
         self.call(limit).await?;
         Ok(self.snapshot.borrow().list.revision)
     }
