--- a/crates/node/src/gate/dispatch.rs
+++ b/crates/node/src/gate/dispatch.rs
@@ -118,7 +118,7 @@
         rank: call.context.rank,
         deadline: call.deadline,
         expected,
-        longest_wait: None,
+        max_wait: None,
     };
     let slot = match gate.acquire(demand, class).await {
         Ok(slot) => slot,
--- a/crates/node/src/gate/slots.rs
+++ b/crates/node/src/gate/slots.rs
@@ -214,7 +214,7 @@
     /// Point at which a waiting call gives up: it could no longer be answered in time,
     /// or, below the protected importance, its wait is longer than the objective allows.
     fn wait_until(&self, demand: &SlotRequest, arrived: Moment) -> Moment {
-        let longest = lock(&self.state).queue.longest_wait(demand, arrived);
+        let longest = lock(&self.state).queue.max_wait(demand, arrived);
         let by_deadline = demand.deadline.saturating_sub(demand.expected);
         by_deadline.min(arrived + longest.mul_f64(WAIT_TOLERANCE))
     }
--- a/crates/overload/src/queue/mod.rs
+++ b/crates/overload/src/queue/mod.rs
@@ -50,7 +50,7 @@
     /// Expected time in the slot.
     pub expected: Duration,
     /// Longest wait that is worth it, in place of the queue's own objective.
-    pub longest_wait: Option<Duration>,
+    pub max_wait: Option<Duration>,
 }
 
 /// QueueSettings of a queue, from the bundle.
@@ -229,11 +229,11 @@
             self.start(ticket, &demand, now);
             return Admission::Dispatch(ticket);
         }
-        let longest_wait = self.longest_wait(&demand, now);
-        if self.paced_wait(&demand, now) > longest_wait {
+        let max_wait = self.max_wait(&demand, now);
+        if self.paced_wait(&demand, now) > max_wait {
             return Admission::Refuse(self.paced_refusal(&demand, now));
         }
-        if self.predicted_wait(&demand, now) > longest_wait {
+        if self.predicted_wait(&demand, now) > max_wait {
             return Admission::Refuse(self.refusal(RefusalReason::PredictedWait, &demand));
         }
         let displaced = match self.make_room(&demand) {
--- a/crates/overload/src/queue/wait.rs
+++ b/crates/overload/src/queue/wait.rs
@@ -15,9 +15,9 @@
     /// Longest wait after which the demand may still be served: bound by its deadline,
     /// and below the protected importance by the objective, which is wider for deeper
     /// hops since work has been done for them.
-    pub fn longest_wait(&self, demand: &SlotRequest, now: Moment) -> Duration {
+    pub fn max_wait(&self, demand: &SlotRequest, now: Moment) -> Duration {
         let by_deadline = demand.deadline.since(now).saturating_sub(demand.expected);
-        if let Some(longest) = demand.longest_wait {
+        if let Some(longest) = demand.max_wait {
             return by_deadline.min(longest);
         }
         if demand.importance.is_protected() {
--- a/crates/overload/tests/demand.rs
+++ b/crates/overload/tests/demand.rs
@@ -136,7 +136,7 @@
         rank: SheddingRank(100),
         deadline: at(100_000),
         expected: Duration::from_millis(20),
-        longest_wait: Some(Duration::from_secs(50)),
+        max_wait: Some(Duration::from_secs(50)),
     }
 }
 
--- a/crates/overload/tests/fuzz.rs
+++ b/crates/overload/tests/fuzz.rs
@@ -113,7 +113,7 @@
                 rank: SheddingRank(rank),
                 deadline: system.now + Duration::from_millis(u64::from(wait_ms)),
                 expected: Duration::from_millis(20),
-                longest_wait: None,
+                max_wait: None,
             }),
             Step::Finish(choice) if !system.running.is_empty() => {
                 let index = usize::from(choice) % system.running.len();
--- a/crates/overload/tests/pacer.rs
+++ b/crates/overload/tests/pacer.rs
@@ -85,7 +85,7 @@
         rank: SheddingRank(u16::MAX / 2),
         deadline: at(60_000),
         expected: Duration::from_millis(20),
-        longest_wait: Some(Duration::from_millis(400)),
+        max_wait: Some(Duration::from_millis(400)),
     };
     let Admission::Refuse(refusal) = queue.submit(demand, at(0)) else { panic!("it waits in vain") };
     assert_eq!(refusal.reason, RefusalReason::RateLimited);
--- a/crates/overload/tests/pressure.rs
+++ b/crates/overload/tests/pressure.rs
@@ -48,7 +48,7 @@
         rank: SheddingRank(0),
         deadline: at(60_000),
         expected: Duration::from_millis(100),
-        longest_wait: Some(Duration::ZERO),
+        max_wait: Some(Duration::ZERO),
     }
 }
 
--- a/crates/overload/tests/queue.rs
+++ b/crates/overload/tests/queue.rs
@@ -25,7 +25,7 @@
         rank: SheddingRank(100),
         deadline: at(1_000),
         expected: Duration::from_millis(20),
-        longest_wait: None,
+        max_wait: None,
     }
 }
 
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -323,7 +323,7 @@
         rank: offer.root.rank,
         deadline,
         expected: slots.expected_within(offer, deadline.since(clock::now())),
-        longest_wait: Some(Duration::from_millis(u64::from(offer.longest_wait_ms))),
+        max_wait: Some(Duration::from_millis(u64::from(offer.longest_wait_ms))),
     }
 }
 
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -289,7 +289,7 @@
     /// Waits for a slot. Dropping the future gives the place up.
     pub async fn acquire(self: &Rc<Self>, demand: SlotRequest) -> Result<Slot, Refusal> {
         let now = clock::now();
-        let longest = self.queue.borrow().longest_wait(&demand, now);
+        let longest = self.queue.borrow().max_wait(&demand, now);
         let admission = self.queue.borrow_mut().submit(demand.clone(), now);
         match admission {
             Admission::Dispatch(ticket) => Ok(Slot { slots: self.clone(), ticket, is_sent: false }),
