--- a/crates/sidecar/src/access/mod.rs
+++ b/crates/sidecar/src/access/mod.rs
@@ -34,7 +34,7 @@
     pub collector: RefCell<Collector>,
     nodes: Cell<u32>,
     /// Told when there is something to ask other nodes at once.
-    pub wants_proof: Notify,
+    pub proof_requested: Notify,
 }
 
 /// A place in a tenant's quota that a request has taken.
@@ -53,19 +53,19 @@
             quota: RefCell::default(),
             collector: RefCell::new(Collector::new(generation)),
             nodes: Cell::new(1),
-            wants_proof: Notify::new(),
+            proof_requested: Notify::new(),
         }
     }
 
     /// Puts the tenants of a configuration in force, or says what is wrong with them.
-    pub fn accept(&self, tenants: &[Tenant], bounds: &Bounds) -> Result<(), KeyTableError> {
+    pub fn apply_tenants(&self, tenants: &[Tenant], bounds: &Bounds) -> Result<(), KeyTableError> {
         let keys = KeyTable::new(tenants, self.secret)?;
         let limited = keys.tenants().iter().filter(|tenant| tenant.rate_per_s > 0.0);
         let limits =
             limited.map(|tenant| (TenantId::of(&tenant.name), limit_of(tenant).enforced_with(&bounds.quota)));
         *self.limits.borrow_mut() = limits.collect();
         *self.keys.borrow_mut() = Rc::new(keys);
-        self.wants_proof.notify_one();
+        self.proof_requested.notify_one();
         Ok(())
     }
 
@@ -93,12 +93,12 @@
     }
 
     /// A reading that began at `began` showed nothing newer than what is in force.
-    pub fn on_proven(&self, began: Moment) {
+    pub fn on_source_read(&self, began: Moment) {
         self.proof.borrow_mut().on_read(began);
     }
 
     /// A node that was asked at `asked` said that nothing newer was accepted as of `age` before.
-    pub fn on_proof_told(&self, asked: Moment, age: Duration) {
+    pub fn on_peer_proof(&self, asked: Moment, age: Duration) {
         self.proof.borrow_mut().on_peer_answer(asked, age);
     }
 
@@ -131,12 +131,12 @@
     }
 
     /// Nodes that are listed.
-    pub fn nodes(&self) -> u32 {
+    pub fn node_count(&self) -> u32 {
         self.nodes.get()
     }
 
     /// Notes the number of nodes that are listed.
-    pub fn set_nodes(&self, nodes: u32) {
+    pub fn set_node_count(&self, nodes: u32) {
         self.nodes.set(nodes.max(1));
     }
 }
--- a/crates/sidecar/src/connection_limit.rs
+++ b/crates/sidecar/src/connection_limit.rs
@@ -28,7 +28,7 @@
 
 /// The place of one connection; dropped when the connection has ended.
 #[derive(Debug)]
-pub struct Place {
+pub struct ConnectionPermit {
     limit: Rc<ConnectionLimit>,
     key: usize,
     state: Rc<State>,
@@ -42,7 +42,7 @@
 
     /// A place for a new connection, which rests until it says otherwise. Evicts the one that
     /// rests longest when there is no room, and waits when none rests.
-    pub async fn place(self: &Rc<Self>) -> Place {
+    pub async fn acquire(self: &Rc<Self>) -> ConnectionPermit {
         loop {
             let freed = self.freed.notified();
             if self.has_room() || self.evict_longest_resting() {
@@ -70,20 +70,20 @@
         true
     }
 
-    fn take_place(self: &Rc<Self>) -> Place {
+    fn take_place(self: &Rc<Self>) -> ConnectionPermit {
         let state = Rc::new(State {
             resting_since: Cell::new(Some(Instant::now())),
             is_evicted: Cell::new(false),
             evicted: Notify::new(),
         });
         let key = self.places.borrow_mut().insert(state.clone());
-        Place { limit: self.clone(), key, state }
+        ConnectionPermit { limit: self.clone(), key, state }
     }
 }
 
-impl Place {
+impl ConnectionPermit {
     /// The connection has nothing to do.
-    pub fn rest(&self) {
+    pub fn mark_idle(&self) {
         if self.state.resting_since.get().is_none() {
             self.state.resting_since.set(Some(Instant::now()));
         }
@@ -91,7 +91,7 @@
     }
 
     /// The connection carries a request.
-    pub fn work(&self) {
+    pub fn mark_busy(&self) {
         self.state.resting_since.set(None);
     }
 
@@ -103,7 +103,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.limit.places.borrow_mut().try_remove(self.key);
         if self.state.is_evicted.get() {
--- a/crates/sidecar/src/edge/admission.rs
+++ b/crates/sidecar/src/edge/admission.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 use crate::edge::own_answer::OwnAnswer;
-use crate::hop::{Root, class_of};
+use crate::hop::{RootRequest, class_of};
 use crate::importance::importance_of;
 use crate::model::Route;
 use crate::state::Node;
@@ -19,7 +19,12 @@
 
 /// Lets a client's request begin as the root of its calls, or refuses it because requests like
 /// it fail further down. Calls are never held back: work has been done for them.
-pub fn admit(node: &Node, route: &Route, tenant_priority: Option<u32>, now: Moment) -> Result<Root, OwnAnswer> {
+pub fn admit(
+    node: &Node,
+    route: &Route,
+    tenant_priority: Option<u32>,
+    now: Moment,
+) -> Result<RootRequest, OwnAnswer> {
     if node.stop.is_closing() {
         return Err(OwnAnswer::NotRun { reason: RefusalReason::NodeNotReady, retry_after: STOPPING_RETRY_AFTER });
     }
@@ -30,7 +35,7 @@
     draw(node, part, RefusalReason::NodeOverloaded)?;
     let class = class_of(&route.name, importance_of(tenant_priority, route.priority));
     let level = node.levels.borrow().level(&class, 0, now);
-    let root = Root::new(node, route, tenant_priority, level);
+    let root = RootRequest::new(node, route, tenant_priority, level);
     if root.rank.fraction() < level {
         return Ok(root);
     }
--- a/crates/sidecar/src/edge/answering.rs
+++ b/crates/sidecar/src/edge/answering.rs
@@ -19,7 +19,7 @@
 use crate::edge::request_lineage::RequestLineage;
 use crate::lateness;
 use crate::lineage::{Arriving, ConnectionEvidence, Origin};
-use crate::reply::{Answer, AnswerFault};
+use crate::reply::{Response, ResponseFault};
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -27,7 +27,7 @@
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Answers a request.
-pub async fn answer(node: &Rc<Node>, taken: TakenRequest, connection: &Cell<ConnectionEvidence>) -> Answer {
+pub async fn answer(node: &Rc<Node>, taken: TakenRequest, connection: &Cell<ConnectionEvidence>) -> Response {
     let arrived = clock::now();
     lateness::sample(node, arrived);
     let id = taken.head.fields.get(node.wire_names.request_id).cloned();
@@ -55,12 +55,13 @@
 }
 
 /// A call that failed makes its parent fail.
-fn note_failed_call(node: &Node, outcome: &Outcome, answer: &Answer) {
+fn note_failed_call(node: &Node, outcome: &Outcome, answer: &Response) {
     let Origin::Call(parent) = outcome.origin else { return };
     if answer.head.status < 400 {
         return;
     }
-    let fault = if answer.fault == AnswerFault::Capacity { AnswerFault::Capacity } else { AnswerFault::Callee };
+    let fault =
+        if answer.fault == ResponseFault::Capacity { ResponseFault::Capacity } else { ResponseFault::Callee };
     node.lineage.borrow_mut().on_call_failed(parent, outcome.deadline, fault, clock::now());
 }
 
@@ -70,7 +71,7 @@
     connection: &Cell<ConnectionEvidence>,
     arrived: Moment,
     outcome: &mut Outcome,
-) -> Result<Answer, OwnAnswer> {
+) -> Result<Response, OwnAnswer> {
     let Some(routes) = node.routes() else {
         let reason = RefusalReason::NodeNotReady;
         return Err(OwnAnswer::NotRun { reason, retry_after: UNCONFIGURED_RETRY_AFTER });
@@ -103,7 +104,7 @@
     request: CheckedRequest,
     arrived: Moment,
     outcome: &mut Outcome,
-) -> Result<Answer, OwnAnswer> {
+) -> Result<Response, OwnAnswer> {
     let route = request.route.clone();
     let tenant = outcome.tenant.as_deref();
     let lineage = match outcome.origin {
--- a/crates/sidecar/src/edge/connection.rs
+++ b/crates/sidecar/src/edge/connection.rs
@@ -20,13 +20,13 @@
 use tokio::time::Instant;
 use tokio_util::codec::FramedRead;
 
-use crate::connection_limit::Place;
+use crate::connection_limit::ConnectionPermit;
 use crate::edge::answering;
 use crate::edge::intake::{Intake, TakenRequest};
 use crate::edge::own_answer::OwnAnswer;
 use crate::lineage::ConnectionEvidence;
 use crate::model::ClientLimits;
-use crate::reply::{Answer, Body, BodyBroken};
+use crate::reply::{Body, IncompleteBody, Response};
 use crate::state::Node;
 use crate::stop::InFlightGuard;
 
@@ -38,7 +38,7 @@
 
 /// An answer that is ready to be written.
 struct Ready {
-    answer: Answer,
+    answer: Response,
     client_keeps: bool,
     is_head: bool,
     _in_flight: InFlightGuard,
@@ -52,7 +52,7 @@
     intake: Intake,
     pending: FuturesOrdered<LocalBoxFuture<'static, Ready>>,
     last_active: Instant,
-    place: Place,
+    place: ConnectionPermit,
     /// What its requests showed of whose connection it is.
     evidence: Rc<Cell<ConnectionEvidence>>,
     /// No more requests are read: the client said that it closes, or sent what can't be read.
@@ -69,7 +69,7 @@
 }
 
 /// Serves a connection to its end.
-pub async fn serve(node: Rc<Node>, stream: TcpStream, place: Place) {
+pub async fn serve(node: Rc<Node>, stream: TcpStream, place: ConnectionPermit) {
     let limits = node.routes().map(|routes| routes.limits()).unwrap_or_default();
     let (reading, answers) = stream.into_split();
     let decoder = RequestDecoder::new(limits.max_head_bytes as usize, limits.max_body_bytes);
@@ -142,9 +142,9 @@
         let waits = !self.pending.is_empty();
         let at_rest = self.is_at_rest();
         if at_rest {
-            self.place.rest();
+            self.place.mark_idle();
         } else {
-            self.place.work();
+            self.place.mark_busy();
         }
         let tick = Instant::now() + self.limits.head_timeout.duration();
         tokio::select! {
@@ -243,12 +243,12 @@
 /// Writes an answer; each piece has to go out within `limit`.
 async fn write_answer(
     out: &mut OwnedWriteHalf,
-    answer: Answer,
+    answer: Response,
     keep: bool,
     is_head: bool,
     limit: Duration,
-) -> Result<(), BodyBroken> {
-    let Answer { head, body, .. } = answer;
+) -> Result<(), IncompleteBody> {
+    let Response { head, body, .. } = answer;
     let mut buffer = BytesMut::new();
     match body {
         Body::Whole(bytes) => {
@@ -279,9 +279,9 @@
     }
 }
 
-async fn write_piece(out: &mut OwnedWriteHalf, bytes: &[u8], limit: Duration) -> Result<(), BodyBroken> {
+async fn write_piece(out: &mut OwnedWriteHalf, bytes: &[u8], limit: Duration) -> Result<(), IncompleteBody> {
     match tokio::time::timeout(limit, out.write_all(bytes)).await {
         Ok(Ok(())) => Ok(()),
-        _ => Err(BodyBroken),
+        _ => Err(IncompleteBody),
     }
 }
--- a/crates/sidecar/src/edge/dispatch.rs
+++ b/crates/sidecar/src/edge/dispatch.rs
@@ -19,7 +19,7 @@
 use crate::gate::confirmation::Confirmation;
 use crate::hop::{Offer, OfferedBody};
 use crate::model::{Instance, RetrySafety};
-use crate::reply::{Answer, AnswerFault, Body, BodyStream, Failure, FailureReason, GateReply, Load};
+use crate::reply::{Body, BodyStream, Failure, FailureReason, GateReply, Load, Response, ResponseFault};
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -44,7 +44,7 @@
     /// A streamed body was given to an attempt: it can't be sent again.
     body_is_spent: bool,
     /// The failure of an instance, while others are tried. It is better than no answer.
-    failed_answer: Option<Answer>,
+    failed_answer: Option<Response>,
     /// Runs of it with which their instance ended.
     fatal_runs: Vec<(InstanceName, FatalRun)>,
     arrived: Moment,
@@ -60,8 +60,8 @@
     lineage: RequestLineage,
     arrived: Moment,
     trail: &mut String,
-) -> Result<Answer, OwnAnswer> {
-    let dealt = node.dealer.borrow_mut().deal(&request.route);
+) -> Result<Response, OwnAnswer> {
+    let dealt = node.weighted_round_robin.borrow_mut().next_service(&request.route);
     let service = dealt.ok_or(OwnAnswer::Rejected { status: 404, reason: "no-service" })?;
     let deadline = arrived + request.time;
     let body_bytes = body.held_bytes();
@@ -100,8 +100,8 @@
 impl Dispatch<'_> {
     /// The answer when it is final; `None` when another instance is to be tried, since this one
     /// failed the request by itself and it may run again.
-    fn after_answer(&mut self, attempts: &mut Attempts, answer: Answer) -> Option<Answer> {
-        let is_own_failure = answer.fault == AnswerFault::Instance && !self.body_is_spent;
+    fn after_answer(&mut self, attempts: &mut Attempts, answer: Response) -> Option<Response> {
+        let is_own_failure = answer.fault == ResponseFault::Instance && !self.body_is_spent;
         if is_own_failure && attempts.on_instance_failed() == Next::TryAnother {
             self.failed_answer = Some(answer);
             return None;
@@ -110,7 +110,7 @@
     }
 
     /// Offers the request until there is an answer or nothing is left to try.
-    async fn run(&mut self, attempts: &mut Attempts) -> Result<Answer, OwnAnswer> {
+    async fn run(&mut self, attempts: &mut Attempts) -> Result<Response, OwnAnswer> {
         loop {
             let Some(instance) = self.choose(attempts) else {
                 return Err(attempts.on_no_candidate().into());
@@ -236,14 +236,14 @@
             body,
             request_id: self.request.id.clone(),
             time_left_ms: milliseconds(time_left),
-            longest_wait_ms: milliseconds(self.longest_wait(instance, attempts, now)),
+            max_slot_wait_ms: milliseconds(self.longest_wait(instance, attempts, now)),
             target_latency_ms: route.target_latency.0,
             root: self.lineage.root.clone(),
             hop: self.lineage.hop,
             safety: route.safety,
-            is_repeat: attempts.has_arrived(),
-            ended: self.reported_ends(),
-            inherited: self.lineage.inherited,
+            is_retry: attempts.has_arrived(),
+            reported_ends: self.reported_ends(),
+            parent_retry_probability: self.lineage.parent_retry_probability,
             declared: self.node.declared_rates.borrow().record_for(&instance.name),
             needs_confirmation: is_remote && route.safety == RetrySafety::Unsafe,
         }
@@ -299,9 +299,10 @@
         }
         let mut balancer = self.node.balancer.borrow_mut();
         balancer.on_report(name, f64::from(load.occupancy), now);
-        let health = Health { latency_ratio: f64::from(load.slowness), failure_rate: f64::from(load.failing) };
+        let health =
+            Health { latency_ratio: f64::from(load.latency_ratio), failure_rate: f64::from(load.failure_rate) };
         balancer.on_health(name, health, now);
-        balancer.on_rate_limited(name, report.return_after.duration(), now);
+        balancer.on_rate_limited(name, report.retry_after.duration(), now);
         drop(balancer);
         self.node.declared_rates.borrow_mut().note(name, report.declared);
         // What one instance lacks is no lack of the service, as long as others take what comes.
--- a/crates/sidecar/src/edge/hop_pool.rs
+++ b/crates/sidecar/src/edge/hop_pool.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::Instant;
 
-use crate::hop::{self, HopStream};
+use crate::hop::{self, GateStream};
 use crate::transport;
 
 /// Time limit of a connection to a gate.
@@ -18,34 +18,34 @@
 const MOST_RESTING: usize = 48;
 
 struct Resting {
-    stream: HopStream,
+    stream: GateStream,
     since: Instant,
 }
 
 /// Connections that rest, by gate.
 #[derive(Default)]
-pub struct HopPool {
+pub struct GateConnectionPool {
     resting: RefCell<HashMap<SocketAddr, Vec<Resting>>>,
 }
 
 /// True when the connection is open and nothing has arrived on it.
-fn is_clean(stream: &HopStream) -> bool {
+fn is_clean(stream: &GateStream) -> bool {
     let mut byte = [0];
     let nothing = stream.get_ref().try_read(&mut byte);
     let is_waiting = matches!(nothing, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock);
     is_waiting && stream.read_buffer().is_empty()
 }
 
-impl HopPool {
+impl GateConnectionPool {
     /// A connection to the gate at `address`: one that rests, or a new one.
-    pub async fn connection(&self, address: SocketAddr) -> std::io::Result<HopStream> {
+    pub async fn connection(&self, address: SocketAddr) -> std::io::Result<GateStream> {
         match self.take(address) {
             Some(stream) => Ok(stream),
             None => Ok(hop::framed(transport::connect(address, CONNECT_LIMIT).await?)),
         }
     }
 
-    fn take(&self, address: SocketAddr) -> Option<HopStream> {
+    fn take(&self, address: SocketAddr) -> Option<GateStream> {
         let now = Instant::now();
         let mut all = self.resting.borrow_mut();
         let resting = all.get_mut(&address)?;
@@ -58,7 +58,7 @@
     }
 
     /// Keeps a connection whose exchange is whole.
-    pub fn keep(&self, address: SocketAddr, stream: HopStream) {
+    pub fn keep(&self, address: SocketAddr, stream: GateStream) {
         let mut all = self.resting.borrow_mut();
         let resting = all.entry(address).or_default();
         if resting.len() >= MOST_RESTING {
--- a/crates/sidecar/src/edge/intake.rs
+++ b/crates/sidecar/src/edge/intake.rs
@@ -5,7 +5,7 @@
 use olivegate_http1::{BodyLength, Frame, RequestHead};
 use tokio::sync::mpsc;
 
-use crate::reply::{Body, BodyBroken, BodyStream};
+use crate::reply::{Body, BodyStream, IncompleteBody};
 
 /// A body up to this size is read whole before the request goes on.
 const WHOLE_BODY_BYTES: usize = 64 * 1024;
@@ -14,7 +14,7 @@
 
 /// Sender of a body's pieces; the body is whole when it is dropped. Whoever gives a request
 /// up drops the request before this sender.
-pub type PieceSender = mpsc::Sender<Result<Bytes, BodyBroken>>;
+pub type PieceSender = mpsc::Sender<Result<Bytes, IncompleteBody>>;
 
 /// A request that can go on.
 pub struct TakenRequest {
@@ -49,7 +49,7 @@
 }
 
 /// The pieces that arrive in `receiver`, as a body.
-pub fn pieces_of(receiver: mpsc::Receiver<Result<Bytes, BodyBroken>>) -> BodyStream {
+pub fn body_stream(receiver: mpsc::Receiver<Result<Bytes, IncompleteBody>>) -> BodyStream {
     futures::stream::unfold(receiver, |mut receiver| async move {
         receiver.recv().await.map(|piece| (piece, receiver))
     })
@@ -89,7 +89,7 @@
                 }
                 let (sender, receiver) = mpsc::channel(BODY_PIECES);
                 *self = Intake::Feeding { sender: Some(sender), waiting: Some(body.freeze()) };
-                Some(TakenRequest { head, body: Body::Stream(pieces_of(receiver), length) })
+                Some(TakenRequest { head, body: Body::Stream(body_stream(receiver), length) })
             }
             (Intake::Feeding { sender, .. }, Frame::Data(data)) => {
                 let waiting = sender.is_some().then_some(data);
--- a/crates/sidecar/src/edge/outcome.rs
+++ b/crates/sidecar/src/edge/outcome.rs
@@ -11,7 +11,7 @@
 use crate::event::{LogClass, display_id};
 use crate::lineage::Origin;
 use crate::model::{Instance, Route};
-use crate::reply::{Answer, Failure};
+use crate::reply::{Failure, Response};
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -153,7 +153,7 @@
 }
 
 /// Logs an instance's answer: failures always, others for sampled requests.
-pub fn log_answer(node: &Node, id: &[u8], outcome: &Outcome, answer: &Answer, elapsed: Duration) {
+pub fn log_answer(node: &Node, id: &[u8], outcome: &Outcome, answer: &Response, elapsed: Duration) {
     let class = if answer.head.status < 500 { LogClass::Routine } else { LogClass::Failure };
     if node.may_log(class, id) {
         log::info!(
--- a/crates/sidecar/src/edge/own_answer.rs
+++ b/crates/sidecar/src/edge/own_answer.rs
@@ -7,7 +7,7 @@
 use olivegate_types::RefusalReason;
 
 use crate::edge::attempts::Verdict;
-use crate::reply::{Answer, AnswerFault, Body};
+use crate::reply::{Body, Response, ResponseFault};
 use crate::wire_names::WireNames;
 
 /// Status of a request without a key that is known.
@@ -83,7 +83,7 @@
     }
 
     /// The answer itself.
-    pub fn to_answer(self, wire_names: &WireNames, request_id: Option<&Bytes>) -> Answer {
+    pub fn to_answer(self, wire_names: &WireNames, request_id: Option<&Bytes>) -> Response {
         let mut fields = Fields::default();
         if let Some(id) = request_id {
             fields.add(wire_names.request_id, id.clone());
@@ -95,9 +95,9 @@
             fields.add("WWW-Authenticate", "ApiKey");
         }
         fields.add("Content-Type", "text/plain");
-        let fault = if self.is_capacity_shortage() { AnswerFault::Capacity } else { AnswerFault::None };
+        let fault = if self.is_capacity_shortage() { ResponseFault::Capacity } else { ResponseFault::None };
         let body = format!("{}\n", self.reason());
         let head = ResponseHead { status: self.status(), minor_version: 1, fields };
-        Answer { head, body: Body::Whole(body.into()), fault }
+        Response { head, body: Body::Whole(body.into()), fault }
     }
 }
--- a/crates/sidecar/src/edge/remote.rs
+++ b/crates/sidecar/src/edge/remote.rs
@@ -9,8 +9,8 @@
 use olivegate_types::{InstanceName, Refusal};
 use tokio::time::Instant;
 
-use crate::hop::{self, EdgeMessage, GateMessage, HopStream, Offer, SILENCE_LIMIT, SUSPECT_AFTER};
-use crate::reply::{Answer, Body, BodyBroken, BodyStream, Failure, FailureReason, GateReply, Load};
+use crate::hop::{self, EdgeMessage, GateMessage, GateStream, Offer, SILENCE_LIMIT, SUSPECT_AFTER};
+use crate::reply::{Body, BodyStream, Failure, FailureReason, GateReply, IncompleteBody, Load, Response};
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -32,7 +32,7 @@
 /// was confirmed is not given up when the gate falls silent: nothing better can be done with
 /// it than wait.
 pub async fn offer(node: &Rc<Node>, address: SocketAddr, offer: Offer, body: Option<BodyStream>) -> RemoteReply {
-    let Ok(stream) = node.hops.connection(address).await else {
+    let Ok(stream) = node.gate_connections.connection(address).await else {
         return Failure::not_sent(FailureReason::GateLost).into();
     };
     let instance = offer.instance.clone();
@@ -85,7 +85,7 @@
 struct Exchange<'a> {
     node: &'a Node,
     instance: InstanceName,
-    stream: HopStream,
+    stream: GateStream,
     sending: Option<BodyStream>,
     progress: Progress,
 }
@@ -138,10 +138,10 @@
         sent.map_err(|_| self.progress.failure(FailureReason::GateLost))
     }
 
-    async fn send_piece(&mut self, piece: Option<Result<Bytes, BodyBroken>>) -> Result<(), Failure> {
+    async fn send_piece(&mut self, piece: Option<Result<Bytes, IncompleteBody>>) -> Result<(), Failure> {
         let message = match piece {
             Some(Ok(data)) => EdgeMessage::Data(data),
-            Some(Err(BodyBroken)) => return Err(Failure::unknown(FailureReason::RequestBroken)),
+            Some(Err(IncompleteBody)) => return Err(Failure::unknown(FailureReason::RequestBroken)),
             None => {
                 self.sending = None;
                 EdgeMessage::End
@@ -153,7 +153,7 @@
     }
 }
 
-async fn next_piece(body: &mut Option<BodyStream>) -> Option<Result<Bytes, BodyBroken>> {
+async fn next_piece(body: &mut Option<BodyStream>) -> Option<Result<Bytes, IncompleteBody>> {
     match body {
         Some(pieces) => pieces.next().await,
         None => futures::future::pending().await,
@@ -163,13 +163,13 @@
 fn take_reply(
     node: &Rc<Node>,
     address: SocketAddr,
-    stream: HopStream,
+    stream: GateStream,
     message: GateMessage,
     whole_request: bool,
 ) -> RemoteReply {
     let keep = |stream| {
         if whole_request {
-            node.hops.keep(address, stream);
+            node.gate_connections.keep(address, stream);
         }
     };
     match message {
@@ -184,11 +184,11 @@
         }
         GateMessage::Answered { head, body: Some(bytes), fault, load, .. } => {
             keep(stream);
-            let answer = Answer { head, body: Body::Whole(bytes), fault };
+            let answer = Response { head, body: Body::Whole(bytes), fault };
             RemoteReply { reply: GateReply::Answered(answer), load: Some(load) }
         }
         GateMessage::Answered { head, body: None, length, fault, load } => {
-            let answer = Answer { head, body: Body::Stream(streamed_body(stream), length), fault };
+            let answer = Response { head, body: Body::Stream(streamed_body(stream), length), fault };
             RemoteReply { reply: GateReply::Answered(answer), load: Some(load) }
         }
         _ => Failure::unknown(FailureReason::GateLost).into(),
@@ -196,7 +196,7 @@
 }
 
 /// The pieces that follow on the connection, which ends with them.
-fn streamed_body(stream: HopStream) -> BodyStream {
+fn streamed_body(stream: GateStream) -> BodyStream {
     let pieces = futures::stream::unfold(Some(stream), |state| async move {
         let mut stream = state?;
         let message = match stream.next().await {
@@ -206,7 +206,7 @@
         match message {
             Some(GateMessage::Data(data)) => Some((Ok(data), Some(stream))),
             Some(GateMessage::End) => None,
-            _ => Some((Err(BodyBroken), None)),
+            _ => Some((Err(IncompleteBody), None)),
         }
     });
     pieces.boxed_local()
--- a/crates/sidecar/src/edge/request_lineage.rs
+++ b/crates/sidecar/src/edge/request_lineage.rs
@@ -3,7 +3,7 @@
 use olivegate_types::SheddingRank;
 use rand::RngExt;
 
-use crate::hop::Root;
+use crate::hop::RootRequest;
 use crate::importance::importance_of;
 use crate::lineage::Parent;
 use crate::model::Route;
@@ -13,41 +13,45 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestLineage {
     /// The request at the root.
-    pub root: Root,
+    pub root: RootRequest,
     /// Calls between the root and this request.
     pub hop: u8,
     /// Probability that the run which makes this call is a repeat; 0 for a client's request.
-    pub inherited: f32,
+    pub parent_retry_probability: f32,
 }
 
-impl Root {
+impl RootRequest {
     /// A request of `route` of whose kind the part `admitted` is let begin, made by a tenant with
     /// this priority, if by any; draws its rank.
     pub fn new(node: &Node, route: &Route, tenant_priority: Option<u32>, admitted: f64) -> Self {
-        Root {
+        RootRequest {
             route: route.name.clone(),
             importance: importance_of(tenant_priority, route.priority),
             rank: SheddingRank(node.random(|random| random.random())),
-            admitted: admitted as f32,
+            admitted_fraction: admitted as f32,
         }
     }
 }
 
 impl RequestLineage {
     /// A client's request with this root.
-    pub fn of_client(root: Root) -> Self {
-        RequestLineage { root, hop: 0, inherited: 0.0 }
+    pub fn of_client(root: RootRequest) -> Self {
+        RequestLineage { root, hop: 0, parent_retry_probability: 0.0 }
     }
 
     /// A call of the instance. Where its parent is unknown it goes by its own route.
     pub fn of_call(node: &Node, route: &Route, parent: Parent) -> Self {
         let lineage = node.lineage.borrow();
-        let inherited = lineage.repeat_part(parent) as f32;
+        let parent_retry_probability = lineage.retry_probability(parent) as f32;
         match parent.key().and_then(|key| lineage.request(key)) {
-            Some(request) => {
-                RequestLineage { root: request.root.clone(), hop: request.hop.saturating_add(1), inherited }
+            Some(request) => RequestLineage {
+                root: request.root.clone(),
+                hop: request.hop.saturating_add(1),
+                parent_retry_probability,
+            },
+            None => {
+                RequestLineage { root: RootRequest::new(node, route, None, 1.0), hop: 1, parent_retry_probability }
             }
-            None => RequestLineage { root: Root::new(node, route, None, 1.0), hop: 1, inherited },
         }
     }
 }
--- a/crates/sidecar/src/follow/mod.rs
+++ b/crates/sidecar/src/follow/mod.rs
@@ -201,7 +201,7 @@
 fn note_proof(node: &Node, seen: Option<ConfigurationVersion>, began: Moment) {
     let may_lack_writes = node.cluster.borrow().directory.may_lack_writes(began);
     if !may_lack_writes && seen.is_some_and(|seen| seen <= node.known_state().configuration) {
-        node.access.on_proven(began);
+        node.access.on_source_read(began);
     }
 }
 
--- a/crates/sidecar/src/gate/admission.rs
+++ b/crates/sidecar/src/gate/admission.rs
@@ -20,6 +20,6 @@
     if rank >= level {
         return Err(Refusal::new(RefusalReason::AdmissionLevel, retry_after_level(level, rank)));
     }
-    offer.root.admitted = offer.root.admitted.min(level as f32);
+    offer.root.admitted_fraction = offer.root.admitted_fraction.min(level as f32);
     Ok(())
 }
--- a/crates/sidecar/src/gate/exchange.rs
+++ b/crates/sidecar/src/gate/exchange.rs
@@ -21,7 +21,7 @@
 use crate::gate::notice::Notice;
 use crate::gate::slots::InstanceSlots;
 use crate::hop::Offer;
-use crate::reply::{Answer, AnswerFault, Body, BodyBroken, Failure, FailureReason};
+use crate::reply::{Body, Failure, FailureReason, IncompleteBody, Response, ResponseFault};
 use crate::state::Node;
 
 /// An answer up to this size is read whole before it is passed on.
@@ -45,7 +45,7 @@
     offer: &Offer,
     body: Body,
     time_left: Duration,
-) -> Result<Answer, Failure> {
+) -> Result<Response, Failure> {
     let connections = slots.connections();
     let mut connection = match kept {
         Some(connection) => connection,
@@ -88,7 +88,7 @@
         }
         FirstPart::More(bytes) => rest_of_body(connection, bytes, whole_length),
     };
-    Ok(Answer { head: answer_head, body, fault: AnswerFault::None })
+    Ok(Response { head: answer_head, body, fault: ResponseFault::None })
 }
 
 async fn connect(node: &Node, connections: &InstanceConnections) -> Result<InstanceConnection, Failure> {
@@ -282,7 +282,7 @@
         match connection.answers.next().await {
             Some(Ok(Frame::Data(data))) => Some((Ok(data), Some(connection))),
             Some(Ok(Frame::End)) => None,
-            _ => Some((Err(BodyBroken), None)),
+            _ => Some((Err(IncompleteBody), None)),
         }
     });
     let first = futures::stream::once(async move { Ok(first) });
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -51,7 +51,7 @@
 
 use crate::directory::InstanceStatus;
 use crate::event::{LogClass, display_id};
-use crate::hop::{ONE_GROUP, Offer, Root};
+use crate::hop::{CALLER_GROUP, Offer, RootRequest};
 use crate::lateness;
 use crate::model::{Incarnation, Instance, InstanceState};
 use crate::reply::{Body, Failure, FailureReason, GateReply, Load, refused};
@@ -146,7 +146,7 @@
     /// Load of one instance, to be told to the edge of an offer made for `root` at `hop`: with the
     /// level of its class here and further down. A node that stops seems busy, so that it
     /// is chosen only where nothing else is left.
-    pub fn load(&self, node: &Node, name: &InstanceName, root: &Root, hop: u8) -> Load {
+    pub fn load(&self, node: &Node, name: &InstanceName, root: &RootRequest, hop: u8) -> Load {
         let class = root.class();
         let slots = self.instances.borrow().get(name).cloned();
         let mut load = slots.map(|slots| self.load_of(node, name, &slots, &class)).unwrap_or_default();
@@ -253,7 +253,8 @@
     match result {
         Ok(mut answer) => {
             note_alive(node, &offer, &slots, doubts);
-            answer.fault = node.lineage.borrow_mut().fault_of(parent.key(), answer.head.status, clock::now());
+            answer.fault =
+                node.lineage.borrow_mut().attribute_fault(parent.key(), answer.head.status, clock::now());
             node.metrics.exchanges.with_label_values(&["answered"]).inc();
             slot.note_answer(&offer, answer.fault, taken);
             node.gate.repeats.on_answer(node, &offer, answer.fault, clock::now());
@@ -317,13 +318,13 @@
 fn demand_of(offer: &Offer, slots: &InstanceSlots, deadline: Moment) -> SlotRequest {
     SlotRequest {
         importance: offer.root.importance,
-        group: GroupName::new(ONE_GROUP),
+        group: GroupName::new(CALLER_GROUP),
         weight: 1,
         hop: offer.hop,
         rank: offer.root.rank,
         deadline,
         expected: slots.expected_within(offer, deadline.since(clock::now())),
-        max_wait: Some(Duration::from_millis(u64::from(offer.longest_wait_ms))),
+        max_wait: Some(Duration::from_millis(u64::from(offer.max_slot_wait_ms))),
     }
 }
 
--- a/crates/sidecar/src/gate/quarantine/admission.rs
+++ b/crates/sidecar/src/gate/quarantine/admission.rs
@@ -12,7 +12,7 @@
 use super::run_content::RunContent;
 use crate::event::{LogClass, display_id};
 use crate::hop::Offer;
-use crate::reply::{Body, BodyBroken};
+use crate::reply::{Body, IncompleteBody};
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -43,7 +43,7 @@
     /// Lets a request in that may run; waits while another suspect runs.
     pub async fn admit(&self, node: &Node, offer: &Offer, content: &RunContent) -> Result<Entry, Refusal> {
         self.wait_until_heard().await;
-        if !offer.ended.is_empty() {
+        if !offer.reported_ends.is_empty() {
             self.take_word_of_edge(node, offer, content);
         }
         match self.judge(node, content) {
@@ -54,7 +54,7 @@
             }
             Decision::Probe => self.place().map(Entry::Probe),
             Decision::Isolated => {
-                let longest = Duration::from_millis(u64::from(offer.longest_wait_ms));
+                let longest = Duration::from_millis(u64::from(offer.max_slot_wait_ms));
                 let place = tokio::time::timeout(longest, self.alone.clone().acquire_owned()).await;
                 let Ok(Ok(place)) = place else { return Err(waits()) };
                 Ok(Entry::Alone(place))
@@ -102,7 +102,7 @@
             return Body::Stream(stream, length);
         }
         let mut stream = stream.fuse();
-        let mut read: Vec<Result<Bytes, BodyBroken>> = Vec::new();
+        let mut read: Vec<Result<Bytes, IncompleteBody>> = Vec::new();
         let mut bytes = 0;
         while bytes <= MOST_READ {
             let begins_otherwise =
@@ -142,7 +142,7 @@
     fn take_word_of_edge(&self, node: &Node, offer: &Offer, content: &RunContent) {
         let Some(suspected) = content.suspected(self.answered.contains(content)) else { return };
         let now = clock::now();
-        for end in &offer.ended {
+        for end in &offer.reported_ends {
             self.note_end(node, suspected, &end.instance, end.run(now));
         }
     }
--- a/crates/sidecar/src/gate/quarantine/watched_run.rs
+++ b/crates/sidecar/src/gate/quarantine/watched_run.rs
@@ -11,7 +11,7 @@
 use super::run_history::Run;
 use crate::gate::slots::InstanceSlots;
 use crate::hop::Offer;
-use crate::reply::{Answer, Body, BodyStream, FailureReason};
+use crate::reply::{Body, BodyStream, FailureReason, Response};
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -52,8 +52,8 @@
     }
 
     /// The answer as it is to be passed on: watched to the end of its body.
-    pub fn on_answer(mut self, answer: Answer) -> Answer {
-        let Answer { head, body, fault } = answer;
+    pub fn on_answer(mut self, answer: Response) -> Response {
+        let Response { head, body, fault } = answer;
         let body = match body {
             Body::Whole(bytes) => {
                 self.on_answered(head.status);
@@ -61,7 +61,7 @@
             }
             Body::Stream(pieces, length) => Body::Stream(self.watch(pieces, head.status), length),
         };
-        Answer { head, body, fault }
+        Response { head, body, fault }
     }
 
     fn on_answered(&mut self, status: u16) {
--- a/crates/sidecar/src/gate/repeats.rs
+++ b/crates/sidecar/src/gate/repeats.rs
@@ -10,7 +10,7 @@
 use olivegate_types::Moment;
 
 use crate::hop::Offer;
-use crate::reply::AnswerFault;
+use crate::reply::ResponseFault;
 use crate::state::Node;
 
 /// Part of the bound's ratio that is used: what calls inherit is known by probability only.
@@ -45,25 +45,25 @@
 impl GateRepeats {
     /// True when the offer is no repeat, or one that the budget has room for.
     pub fn allows(&self, node: &Node, offer: &Offer, now: Moment) -> bool {
-        !offer.is_repeat || self.budget.borrow().allows(&policy(node), part_of(offer), now)
+        !offer.is_retry || self.budget.borrow().allows(&policy(node), part_of(offer), now)
     }
 
     /// Counts an offer that is about to be sent to the instance; false when it is a repeat that
     /// the budget has no room for.
     pub fn begin(&self, node: &Node, offer: &Offer, now: Moment) -> bool {
         let mut budget = self.budget.borrow_mut();
-        if offer.is_repeat {
+        if offer.is_retry {
             return budget.try_repeat(&policy(node), part_of(offer), now);
         }
-        budget.on_inherited(&policy(node), f64::from(offer.inherited), now);
+        budget.on_inherited(&policy(node), f64::from(offer.parent_retry_probability), now);
         true
     }
 
     /// Counts a first arrival that the instance refused unrun: it is a request of the service like
     /// any other, and its repeats are refused as often.
     pub fn on_shed(&self, node: &Node, offer: &Offer, now: Moment) {
-        if !offer.is_repeat {
-            let share = 1.0 - f64::from(offer.inherited);
+        if !offer.is_retry {
+            let share = 1.0 - f64::from(offer.parent_retry_probability);
             self.budget.borrow_mut().on_answered(&policy(node), share, now);
         }
     }
@@ -74,9 +74,9 @@
     }
 
     /// Counts an answer. Only requests that were answered have made all their calls.
-    pub fn on_answer(&self, node: &Node, offer: &Offer, fault: AnswerFault, now: Moment) {
-        if !offer.is_repeat && fault != AnswerFault::Instance {
-            let share = 1.0 - f64::from(offer.inherited);
+    pub fn on_answer(&self, node: &Node, offer: &Offer, fault: ResponseFault, now: Moment) {
+        if !offer.is_retry && fault != ResponseFault::Instance {
+            let share = 1.0 - f64::from(offer.parent_retry_probability);
             self.budget.borrow_mut().on_answered(&policy(node), share, now);
         }
     }
--- a/crates/sidecar/src/gate/running.rs
+++ b/crates/sidecar/src/gate/running.rs
@@ -17,11 +17,11 @@
 impl<'a> Running<'a> {
     /// The instance begins to run the request of `offer`.
     pub fn begin(lineage: &'a RefCell<Lineage>, offer: &Offer, deadline: Moment) -> Self {
-        let repeat = if offer.is_repeat { 1.0 } else { f64::from(offer.inherited) };
+        let retry_probability = if offer.is_retry { 1.0 } else { f64::from(offer.parent_retry_probability) };
         let request = RunningRequest {
             id: offer.request_id.clone(),
             deadline,
-            repeat,
+            retry_probability,
             hop: offer.hop,
             root: offer.root.clone(),
         };
--- a/crates/sidecar/src/gate/serve.rs
+++ b/crates/sidecar/src/gate/serve.rs
@@ -7,12 +7,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use crate::connection_limit::Place;
+use crate::connection_limit::ConnectionPermit;
 use crate::gate::confirmation::{GrantRelay, confirmation};
 use crate::gate::run_offer;
-use crate::hop::{self, EdgeMessage, GateMessage, HopStream, Offer, OfferedBody, PROGRESS_INTERVAL};
+use crate::hop::{self, EdgeMessage, GateMessage, GateStream, Offer, OfferedBody, PROGRESS_INTERVAL};
 use crate::peers;
-use crate::reply::{Answer, Body, BodyBroken, GateReply, Load};
+use crate::reply::{Body, GateReply, IncompleteBody, Load, Response};
 use crate::state::Node;
 use crate::transport;
 
@@ -26,7 +26,7 @@
     transport::serve_connections("inbound", listener, most, serve).await;
 }
 
-async fn connection(node: Rc<Node>, stream: TcpStream, place: Place) {
+async fn connection(node: Rc<Node>, stream: TcpStream, place: ConnectionPermit) {
     let mut stream = hop::framed(stream);
     loop {
         let frame = tokio::select! {
@@ -35,7 +35,7 @@
             () = place.evicted() => return,
         };
         let Some(Ok(frame)) = frame else { return };
-        place.work();
+        place.mark_busy();
         let goes_on = match hop::decode::<EdgeMessage>(&frame) {
             Ok(EdgeMessage::Offer(offer)) => serve_offer(&node, &mut stream, *offer).await,
             Ok(EdgeMessage::Fetch(known)) => {
@@ -47,7 +47,7 @@
         if !goes_on {
             return;
         }
-        place.rest();
+        place.mark_idle();
     }
 }
 
@@ -56,9 +56,9 @@
     /// The body is whole, or nobody wants more of it.
     Closed,
     /// Pieces go to the sender.
-    Open(mpsc::Sender<Result<Bytes, BodyBroken>>),
+    Open(mpsc::Sender<Result<Bytes, IncompleteBody>>),
     /// A piece that waits for room.
-    Full(mpsc::Sender<Result<Bytes, BodyBroken>>, Bytes),
+    Full(mpsc::Sender<Result<Bytes, IncompleteBody>>, Bytes),
 }
 
 fn body_of(offer: &Offer) -> (Body, Feed) {
@@ -66,14 +66,14 @@
         OfferedBody::Whole(bytes) => (Body::Whole(bytes.clone()), Feed::Closed),
         OfferedBody::Streamed(length) => {
             let (sender, receiver) = mpsc::channel(BODY_PIECES);
-            (Body::Stream(crate::edge::intake::pieces_of(receiver), *length), Feed::Open(sender))
+            (Body::Stream(crate::edge::intake::body_stream(receiver), *length), Feed::Open(sender))
         }
     }
 }
 
 /// Serves one offer; false when the connection can't be used again. When the edge closes
 /// the connection the request is dropped, wherever it is.
-async fn serve_offer(node: &Rc<Node>, stream: &mut HopStream, offer: Offer) -> bool {
+async fn serve_offer(node: &Rc<Node>, stream: &mut GateStream, offer: Offer) -> bool {
     let _in_flight = node.stop.track_request();
     let (instance, root, hop) = (offer.instance.clone(), offer.root.clone(), offer.hop);
     let (body, mut feed) = body_of(&offer);
@@ -137,7 +137,7 @@
     }
 }
 
-async fn send_reply(stream: &mut HopStream, load: Load, reply: GateReply) -> bool {
+async fn send_reply(stream: &mut GateStream, load: Load, reply: GateReply) -> bool {
     let message = match reply {
         GateReply::Refused { refusal, successor } => GateMessage::Refused {
             reason: refusal.reason,
@@ -151,8 +151,8 @@
     stream.send(hop::encode(&message)).await.is_ok()
 }
 
-async fn send_answer(stream: &mut HopStream, answer: Answer, load: Load) -> bool {
-    let Answer { head, body, fault } = answer;
+async fn send_answer(stream: &mut GateStream, answer: Response, load: Load) -> bool {
+    let Response { head, body, fault } = answer;
     match body {
         Body::Whole(bytes) => {
             let message = GateMessage::Answered { head, body: Some(bytes), length: None, fault, load };
@@ -181,12 +181,12 @@
 }
 
 /// The next piece of an answer; `None` when the edge gave up while the instance was slow.
-async fn next_piece(stream: &mut HopStream, pieces: &mut crate::reply::BodyStream) -> Option<GateMessage> {
+async fn next_piece(stream: &mut GateStream, pieces: &mut crate::reply::BodyStream) -> Option<GateMessage> {
     tokio::select! {
         biased;
         piece = pieces.next() => Some(match piece {
             Some(Ok(data)) => GateMessage::Data(data),
-            Some(Err(BodyBroken)) => GateMessage::Broken,
+            Some(Err(IncompleteBody)) => GateMessage::Broken,
             None => GateMessage::End,
         }),
         _ = stream.next().map(drop) => None,
--- a/crates/sidecar/src/gate/shedding.rs
+++ b/crates/sidecar/src/gate/shedding.rs
@@ -12,7 +12,7 @@
 use olivegate_types::Moment;
 
 use crate::hop::Offer;
-use crate::importance::route_first;
+use crate::importance::route_priority_first;
 
 /// Time constant of the counts: what is held back does not arrive to show that the shedding is
 /// over.
@@ -70,7 +70,7 @@
     /// Notes the repeats that a call will need.
     pub fn note_demand(&self, offer: &Offer, now: Moment) {
         let part = self.part(now);
-        if part == 0.0 || offer.hop == 0 || offer.is_repeat {
+        if part == 0.0 || offer.hop == 0 || offer.is_retry {
             return;
         }
         // Sent until it is taken: one repeat for each time that it is shed.
@@ -78,7 +78,7 @@
         self.needed.borrow_mut().record(
             &by_route(&offer.root.class()),
             repeats,
-            f64::from(offer.root.admitted),
+            f64::from(offer.root.admitted_fraction),
             now,
         );
     }
@@ -97,5 +97,5 @@
 /// some tenants uses up the repeats that the reservations of all others need, and a chain twice as
 /// long needs twice as many.
 fn by_route(class: &ClassKey) -> ClassKey {
-    ClassKey { importance: route_first(class.importance), ..class.clone() }
+    ClassKey { importance: route_priority_first(class.importance), ..class.clone() }
 }
--- a/crates/sidecar/src/gate/slot.rs
+++ b/crates/sidecar/src/gate/slot.rs
@@ -7,7 +7,7 @@
 
 use crate::gate::slots::{InstanceSlots, SAMPLE_WEIGHT};
 use crate::hop::Offer;
-use crate::reply::{Answer, AnswerFault, Body, Failure, FailureReason};
+use crate::reply::{Body, Failure, FailureReason, Response, ResponseFault};
 use olivegate_clock as clock;
 
 /// A slot in use; dropped when the exchange has ended, whichever way.
@@ -36,8 +36,8 @@
     }
 
     /// Learns from an answer.
-    pub fn note_answer(&mut self, offer: &Offer, fault: AnswerFault, used: Duration) {
-        self.slots.note_failing(fault == AnswerFault::Instance);
+    pub fn note_answer(&mut self, offer: &Offer, fault: ResponseFault, used: Duration) {
+        self.slots.note_failing(fault == ResponseFault::Instance);
         self.slots.sheds.note(false, clock::now());
         self.note_time(offer, used);
         let mut queue = self.slots.queue.borrow_mut();
@@ -74,8 +74,8 @@
 }
 
 /// The answer, with the slot kept until a body that is still to be read has ended.
-pub fn holding(answer: Answer, slot: Slot) -> Answer {
-    let Answer { head, body, fault } = answer;
+pub fn holding(answer: Response, slot: Slot) -> Response {
+    let Response { head, body, fault } = answer;
     let body = match body {
         Body::Whole(bytes) => Body::Whole(bytes),
         Body::Stream(pieces, length) => {
@@ -86,5 +86,5 @@
             Body::Stream(Box::pin(held), length)
         }
     };
-    Answer { head, body, fault }
+    Response { head, body, fault }
 }
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -237,8 +237,8 @@
         let by_repeats = self.sheds.level(class, repeats, now);
         Load {
             occupancy: self.queue.borrow().occupancy() as f32,
-            slowness: *self.slowness.borrow() as f32,
-            failing: self.failing.get() as f32,
+            latency_ratio: *self.slowness.borrow() as f32,
+            failure_rate: self.failing.get() as f32,
             level: by_slots.min(by_repeats) as f32,
             self_report: None,
         }
@@ -249,8 +249,8 @@
         let declared = self.declared.get().record();
         let has_said = is_leaving || declared.was_ever_limited();
         has_said.then(|| {
-            let return_after = Millis::of(self.return_after(clock::now()));
-            SelfReport { declared, is_leaving, return_after }
+            let retry_after = Millis::of(self.return_after(clock::now()));
+            SelfReport { declared, is_leaving, retry_after }
         })
     }
 
@@ -282,7 +282,12 @@
     pub fn note_demand(&self, offer: &Offer, now: Moment) {
         // No request takes longer than the time that it has left.
         let slot_time = self.expected(offer).min(Duration::from_millis(u64::from(offer.time_left_ms)));
-        self.demand.borrow_mut().record(&offer.root.class(), slot_time, f64::from(offer.root.admitted), now);
+        self.demand.borrow_mut().record(
+            &offer.root.class(),
+            slot_time,
+            f64::from(offer.root.admitted_fraction),
+            now,
+        );
         self.sheds.note_demand(offer, now);
     }
 
--- a/crates/sidecar/src/hop.rs
+++ b/crates/sidecar/src/hop.rs
@@ -22,7 +22,7 @@
 use crate::directory::copy::DirectoryCopy;
 use crate::model::{Configuration, ConfigurationVersion, Instance, RetrySafety, Revision};
 use crate::peers::AnnouncedReading;
-use crate::reply::{AnswerFault, Failure, Load};
+use crate::reply::{Failure, Load, ResponseFault};
 
 /// Interval of the gate's signs of life.
 pub const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
@@ -33,7 +33,7 @@
 /// A gate waits so long for the edge's confirmation.
 pub const CONFIRM_LIMIT: Duration = Duration::from_millis(600);
 /// Name of the only group of callers: the platform knows none.
-pub const ONE_GROUP: &str = "all";
+pub const CALLER_GROUP: &str = "all";
 /// Longest frame in bytes: a knowledge transfer at the target size fits.
 const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
@@ -48,7 +48,7 @@
 
 /// The request at the root of a call graph, as all calls made for it are told.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Root {
+pub struct RootRequest {
     /// Name of its route.
     pub route: String,
     /// Its importance: more important ones go first, wherever their calls meet.
@@ -57,10 +57,10 @@
     pub rank: SheddingRank,
     /// Part of such requests that its edge let begin, above 0 and at most 1: each stands for
     /// `1 / admitted` requests that wanted to.
-    pub admitted: f32,
+    pub admitted_fraction: f32,
 }
 
-impl Root {
+impl RootRequest {
     /// The class that it is shed with.
     pub fn class(&self) -> ClassKey {
         class_of(&self.route, self.importance)
@@ -69,7 +69,7 @@
 
 /// The class of the requests of `route`.
 pub fn class_of(route: &str, importance: Importance) -> ClassKey {
-    ClassKey { root_kind: KindName::new(route), group: GroupName::new(ONE_GROUP), importance }
+    ClassKey { root_kind: KindName::new(route), group: GroupName::new(CALLER_GROUP), importance }
 }
 
 /// A request that an edge offers to a gate.
@@ -88,21 +88,21 @@
     /// Time until the edge gives up, in milliseconds.
     pub time_left_ms: u32,
     /// Longest wait for a slot that is worth it, in milliseconds.
-    pub longest_wait_ms: u32,
+    pub max_slot_wait_ms: u32,
     /// Target latency of the route, in milliseconds.
     pub target_latency_ms: u32,
     /// The request that it is made for: itself, when a client made it.
-    pub root: Root,
+    pub root: RootRequest,
     /// 0 for a client's request; a call has one more than the request that makes it.
     pub hop: u8,
     /// Whether it may run more than once.
     pub safety: RetrySafety,
     /// True when it has arrived at an instance before.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Instances that ended with it at work.
-    pub ended: Vec<ReportedEnd>,
+    pub reported_ends: Vec<ReportedEnd>,
     /// Probability that the run which makes this call is a repeat; 0 for a client's request.
-    pub inherited: f32,
+    pub parent_retry_probability: f32,
     /// True when it may run only once the edge has confirmed it.
     pub needs_confirmation: bool,
     /// The rate that the instance declares, as the edge was told, where it has ever declared one.
@@ -167,7 +167,7 @@
         /// Length of a body that follows, where that is known.
         length: Option<u64>,
         /// What it failed by, if it did.
-        fault: AnswerFault,
+        fault: ResponseFault,
         /// The gate's load.
         load: Load,
     },
@@ -189,10 +189,10 @@
 }
 
 /// A connection between an edge and a gate.
-pub type HopStream = Framed<TcpStream, LengthDelimitedCodec>;
+pub type GateStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// Frames a connection.
-pub fn framed(stream: TcpStream) -> HopStream {
+pub fn framed(stream: TcpStream) -> GateStream {
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     Framed::new(stream, codec)
 }
--- a/crates/sidecar/src/importance.rs
+++ b/crates/sidecar/src/importance.rs
@@ -14,7 +14,7 @@
 }
 
 /// The same with the route's priority first.
-pub fn route_first(importance: Importance) -> Importance {
+pub fn route_priority_first(importance: Importance) -> Importance {
     let priorities = PRIORITIES as u8;
     Importance(importance.0 % priorities * priorities + importance.0 / priorities)
 }
--- a/crates/sidecar/src/lineage/mod.rs
+++ b/crates/sidecar/src/lineage/mod.rs
@@ -26,8 +26,8 @@
 use bytes::Bytes;
 use olivegate_types::Moment;
 
-use crate::hop::Root;
-use crate::reply::AnswerFault;
+use crate::hop::RootRequest;
+use crate::reply::ResponseFault;
 use evidence::RouteEvidence;
 pub use evidence::{ConnectionEvidence, Sign, Standing};
 
@@ -67,18 +67,18 @@
     /// When the instance gives it up.
     pub deadline: Moment,
     /// Probability that this run is a repeat.
-    pub repeat: f64,
+    pub retry_probability: f64,
     /// Number of calls between the root and this request.
     pub hop: u8,
     /// The request at the root.
-    pub root: Root,
+    pub root: RootRequest,
 }
 
 #[derive(Debug)]
 struct Running {
     request: RunningRequest,
     /// What the first of its calls that failed was put down to.
-    call_fault: AnswerFault,
+    call_fault: ResponseFault,
 }
 
 /// The running request that a call serves.
@@ -141,7 +141,7 @@
 struct UnclaimedFailure {
     at: Moment,
     deadline: Moment,
-    fault: AnswerFault,
+    fault: ResponseFault,
 }
 
 /// Running requests, and what was learnt of connections and routes.
@@ -166,10 +166,10 @@
     pub fn begin(&mut self, request: RunningRequest) -> RunningKey {
         let key = RunningKey(self.next_key);
         self.next_key += 1;
-        self.repeats += request.repeat;
+        self.repeats += request.retry_probability;
         self.by_id.insert(request.id.clone(), key);
         self.by_deadline.insert((request.deadline, key));
-        self.running.insert(key, Running { request, call_fault: AnswerFault::None });
+        self.running.insert(key, Running { request, call_fault: ResponseFault::None });
         key
     }
 
@@ -181,7 +181,7 @@
             self.by_id.remove(&request.id);
         }
         // Nothing runs, nothing repeats: no rounding is kept.
-        self.repeats = if self.running.is_empty() { 0.0 } else { self.repeats - request.repeat };
+        self.repeats = if self.running.is_empty() { 0.0 } else { self.repeats - request.retry_probability };
         self.forget_ended(now);
         self.ended.push_back((now, request.deadline));
     }
@@ -325,20 +325,20 @@
     }
 
     /// Probability that a call belongs to a run that is a repeat.
-    pub fn repeat_part(&self, parent: Parent) -> f64 {
+    pub fn retry_probability(&self, parent: Parent) -> f64 {
         if let Parent::Sure(key) = parent
             && let Some(request) = self.request(key)
         {
-            return request.repeat;
+            return request.retry_probability;
         }
         (self.repeats / self.running.len().max(1) as f64).clamp(0.0, 1.0)
     }
 
     /// A call failed.
-    pub fn on_call_failed(&mut self, parent: Parent, deadline: Moment, fault: AnswerFault, now: Moment) {
+    pub fn on_call_failed(&mut self, parent: Parent, deadline: Moment, fault: ResponseFault, now: Moment) {
         if let Parent::Sure(key) = parent {
             if let Some(running) = self.running.get_mut(&key)
-                && running.call_fault == AnswerFault::None
+                && running.call_fault == ResponseFault::None
             {
                 running.call_fault = fault;
             }
@@ -349,12 +349,12 @@
     }
 
     /// What an instance's answer to the request `key` with this status is put down to.
-    pub fn fault_of(&mut self, key: RunningKey, status: u16, now: Moment) -> AnswerFault {
-        let Some(running) = self.running.get(&key) else { return AnswerFault::None };
+    pub fn attribute_fault(&mut self, key: RunningKey, status: u16, now: Moment) -> ResponseFault {
+        let Some(running) = self.running.get(&key) else { return ResponseFault::None };
         if status < 500 {
-            return AnswerFault::None;
+            return ResponseFault::None;
         }
-        if running.call_fault != AnswerFault::None {
+        if running.call_fault != ResponseFault::None {
             return running.call_fault;
         }
         let deadline = running.request.deadline;
@@ -362,10 +362,10 @@
             now.since(failure.at) <= FAILS_WITHIN && failure.deadline <= deadline + LATER
         };
         if let Some(index) = self.unclaimed.iter().position(explains) {
-            return self.unclaimed.remove(index).map_or(AnswerFault::Callee, |failure| failure.fault);
+            return self.unclaimed.remove(index).map_or(ResponseFault::Callee, |failure| failure.fault);
         }
         // At its deadline an instance gives up whatever held it up.
-        if status == GATEWAY_TIMEOUT { AnswerFault::Callee } else { AnswerFault::Instance }
+        if status == GATEWAY_TIMEOUT { ResponseFault::Callee } else { ResponseFault::Instance }
     }
 
     /// Forgets routes that are no longer configured.
--- a/crates/sidecar/src/peers/access.rs
+++ b/crates/sidecar/src/peers/access.rs
@@ -118,7 +118,7 @@
         let pause = node.random(|random| interval.mul_f64(random.random_range(0.9..1.1)));
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = node.access.wants_proof.notified() => {}
+            () = node.access.proof_requested.notified() => {}
         }
         if node.access.has_tenants() {
             note_nodes(&node);
@@ -146,7 +146,7 @@
 
 fn note_nodes(node: &Node) {
     let nodes = node.cluster.borrow().directory.machines().count();
-    node.access.set_nodes(u32::try_from(nodes).unwrap_or(u32::MAX));
+    node.access.set_node_count(u32::try_from(nodes).unwrap_or(u32::MAX));
 }
 
 async fn ask_collector(node: &Node, socket: &UdpSocket, asking: &Asking) {
@@ -225,7 +225,7 @@
     let limits = node.access.limits();
     let mut collector = node.access.collector.borrow_mut();
     collector.on_node_report(from, usage, &limits, now);
-    collector.admitted_fractions(&limits, node.access.nodes(), now).iter().copied().take(MOST_PARTS).collect()
+    collector.admitted_fractions(&limits, node.access.node_count(), now).iter().copied().take(MOST_PARTS).collect()
 }
 
 /// Answers a question.
@@ -252,7 +252,7 @@
     if let Some(age) = told.proof_age
         && told.configuration <= node.known_state().configuration
     {
-        node.access.on_proof_told(asked, age.duration());
+        node.access.on_peer_proof(asked, age.duration());
     }
     if let Some(parts) = &told.parts {
         asking.on_answer(from.ip(), now);
--- a/crates/sidecar/src/peers/mod.rs
+++ b/crates/sidecar/src/peers/mod.rs
@@ -189,13 +189,13 @@
 
 async fn fetch_from(node: &Node, peer: IpAddr) -> std::io::Result<()> {
     let address = node.settings().inbound_of(peer);
-    let mut stream = node.hops.connection(address).await?;
+    let mut stream = node.gate_connections.connection(address).await?;
     stream.send(hop::encode(&EdgeMessage::Fetch(node.known_state()))).await?;
     let frame = stream.next().await.ok_or(std::io::ErrorKind::UnexpectedEof)??;
     let GateMessage::ClusterUpdate { configuration, directory, reading } = hop::decode(&frame)? else {
         return Err(std::io::ErrorKind::InvalidData.into());
     };
-    node.hops.keep(address, stream);
+    node.gate_connections.keep(address, stream);
     let from = peer.to_string();
     if let Some(configuration) = configuration {
         node.accept_configuration(configuration, &from);
--- a/crates/sidecar/src/reply.rs
+++ b/crates/sidecar/src/reply.rs
@@ -14,18 +14,18 @@
 
 /// The rest of a body can't be had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BodyBroken;
+pub struct IncompleteBody;
 
-impl fmt::Display for BodyBroken {
+impl fmt::Display for IncompleteBody {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("the body broke off")
     }
 }
 
-impl std::error::Error for BodyBroken {}
+impl std::error::Error for IncompleteBody {}
 
 /// Pieces of a body; its end is the end of the stream.
-pub type BodyStream = LocalBoxStream<'static, Result<Bytes, BodyBroken>>;
+pub type BodyStream = LocalBoxStream<'static, Result<Bytes, IncompleteBody>>;
 
 /// A body, of a request or of an answer.
 pub enum Body {
@@ -130,7 +130,7 @@
 
 /// What a failure in an answer is put down to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
-pub enum AnswerFault {
+pub enum ResponseFault {
     /// It is no failure.
     #[default]
     None,
@@ -142,27 +142,27 @@
     Instance,
 }
 
-impl AnswerFault {
+impl ResponseFault {
     /// Text of log lines.
     pub fn as_str(self) -> &'static str {
         match self {
-            AnswerFault::None => "none",
-            AnswerFault::Capacity => "capacity",
-            AnswerFault::Callee => "callee",
-            AnswerFault::Instance => "instance",
+            ResponseFault::None => "none",
+            ResponseFault::Capacity => "capacity",
+            ResponseFault::Callee => "callee",
+            ResponseFault::Instance => "instance",
         }
     }
 }
 
 /// An answer of an instance.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its head, without fields that concern one connection.
     pub head: ResponseHead,
     /// Its body.
     pub body: Body,
     /// What it failed by, if it did.
-    pub fault: AnswerFault,
+    pub fault: ResponseFault,
 }
 
 /// How busy a gate is, told with each of its replies.
@@ -171,9 +171,9 @@
     /// Requests in the instance and waiting, over the limit.
     pub occupancy: f32,
     /// Time in the instance over the target latency of the routes, on average.
-    pub slowness: f32,
+    pub latency_ratio: f32,
     /// Fraction of exchanges that the instance failed by itself, on average.
-    pub failing: f32,
+    pub failure_rate: f32,
     /// Fraction of new requests of the root's class that may begin; above 1 where there is room
     /// for more.
     pub level: f32,
@@ -189,12 +189,12 @@
     /// It leaves.
     pub is_leaving: bool,
     /// Time for which the edge is to prefer other instances, since the declared rate is used up.
-    pub return_after: Millis,
+    pub retry_after: Millis,
 }
 
 impl Default for Load {
     fn default() -> Self {
-        Load { occupancy: 0.0, slowness: 0.0, failing: 0.0, level: 1.0, self_report: None }
+        Load { occupancy: 0.0, latency_ratio: 0.0, failure_rate: 0.0, level: 1.0, self_report: None }
     }
 }
 
@@ -211,7 +211,7 @@
     /// No answer.
     Failed(Failure),
     /// The instance's answer.
-    Answered(Answer),
+    Answered(Response),
 }
 
 /// A refusal of the gate itself.
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -51,13 +51,13 @@
 /// by smooth weighted round robin: over any run of requests each part is within one of its
 /// share.
 #[derive(Debug, Default)]
-pub struct WeightedDealer {
+pub struct WeightedRoundRobin {
     credits: HashMap<String, Vec<i64>>,
 }
 
-impl WeightedDealer {
+impl WeightedRoundRobin {
     /// The service that runs the next request of `route`.
-    pub fn deal(&mut self, route: &Route) -> Option<ServiceName> {
+    pub fn next_service(&mut self, route: &Route) -> Option<ServiceName> {
         if route.services.len() <= 1 {
             return route.services.first().map(|part| part.service.clone());
         }
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -18,7 +18,7 @@
 use crate::declared::DeclaredRates;
 use crate::directory::hold::HoldPolicy;
 use crate::directory::{Directory, InstanceStatus};
-use crate::edge::hop_pool::HopPool;
+use crate::edge::hop_pool::GateConnectionPool;
 use crate::event::{LogBudgets, LogClass};
 use crate::gate::Gate;
 use crate::hop::KnownState;
@@ -28,7 +28,7 @@
 use crate::peers::attestation::Attestation;
 use crate::peers::freshness::Freshness;
 use crate::peers::suspects::ServiceMachines;
-use crate::routes::{RouteTable, WeightedDealer};
+use crate::routes::{RouteTable, WeightedRoundRobin};
 use crate::settings::SidecarSettings;
 use crate::stop::StopState;
 use crate::wire_names::WireNames;
@@ -80,7 +80,7 @@
     /// Rates that instances declare.
     pub declared_rates: RefCell<DeclaredRates>,
     /// Deals weighted routes.
-    pub dealer: RefCell<WeightedDealer>,
+    pub weighted_round_robin: RefCell<WeightedRoundRobin>,
     /// How much of each class is let begin, as gates report.
     pub levels: RefCell<LevelTable>,
     /// Whether this process keeps up with its work.
@@ -90,7 +90,7 @@
     /// Which requests are calls of the instance.
     pub lineage: RefCell<Lineage>,
     /// Connections to gates.
-    pub hops: HopPool,
+    pub gate_connections: GateConnectionPool,
     /// The instance beside this node.
     pub gate: Gate,
     /// Machines beside instances of this node's service.
@@ -135,12 +135,12 @@
             access: Access::new(HashSecret(rand::rng().random()), rand::rng().random()),
             balancer: RefCell::default(),
             declared_rates: RefCell::default(),
-            dealer: RefCell::default(),
+            weighted_round_robin: RefCell::default(),
             levels: RefCell::new(LevelTable::with_hold(LEVEL_HOLD)),
             pressure: RefCell::default(),
             lateness_sampled: Cell::new(Moment::START),
             lineage: RefCell::default(),
-            hops: HopPool::default(),
+            gate_connections: GateConnectionPool::default(),
             gate: Gate::default(),
             service_machines: RefCell::default(),
             unheard_gates: RefCell::default(),
@@ -184,7 +184,7 @@
         if configuration.version <= current {
             return false;
         }
-        if let Err(error) = self.access.accept(&configuration.tenants, &self.settings().bounds) {
+        if let Err(error) = self.access.apply_tenants(&configuration.tenants, &self.settings().bounds) {
             log::error!(
                 "event=configuration_rejected version={} in_force={current} from={from} error={:?}",
                 configuration.version,
@@ -199,7 +199,7 @@
             configuration.tenants.len(),
         );
         self.metrics.set_state("configuration_version", configuration.version.0);
-        self.dealer.borrow_mut().retain(&configuration);
+        self.weighted_round_robin.borrow_mut().retain(&configuration);
         let is_configured = |name: &str| configuration.routes.iter().any(|route| route.name == name);
         self.levels.borrow_mut().retain(|class| is_configured(class.root_kind.as_str()));
         self.lineage.borrow_mut().retain(is_configured);
--- a/crates/sidecar/src/status_port.rs
+++ b/crates/sidecar/src/status_port.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::connection_limit::Place;
+use crate::connection_limit::ConnectionPermit;
 use crate::state::Node;
 use crate::transport;
 
@@ -28,9 +28,9 @@
     transport::serve_connections("status", listener, MOST_CONNECTIONS, serve).await;
 }
 
-async fn connection(node: Rc<Node>, stream: TcpStream, place: Place) {
+async fn connection(node: Rc<Node>, stream: TcpStream, place: ConnectionPermit) {
     // Each question is short; none makes room for another.
-    place.work();
+    place.mark_busy();
     let service = service_fn(|request| {
         let node = node.clone();
         async move { Ok::<_, Infallible>(handle(&node, &request)) }
--- a/crates/sidecar/src/transport.rs
+++ b/crates/sidecar/src/transport.rs
@@ -7,7 +7,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task::spawn_local;
 
-use crate::connection_limit::{ConnectionLimit, Place};
+use crate::connection_limit::{ConnectionLimit, ConnectionPermit};
 
 /// Connections that may wait to be accepted.
 const BACKLOG: u32 = 1024;
@@ -50,7 +50,7 @@
     port: &str,
     listener: TcpListener,
     most: usize,
-    serve: impl Fn(TcpStream, Place) -> Serving,
+    serve: impl Fn(TcpStream, ConnectionPermit) -> Serving,
 ) where
     Serving: Future<Output = ()> + 'static,
 {
@@ -59,7 +59,7 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 configure(&stream);
-                let place = limit.place().await;
+                let place = limit.acquire().await;
                 spawn_local(serve(stream, place));
             }
             Err(error) => {
--- a/crates/sidecar/tests/decisions/lineage.rs
+++ b/crates/sidecar/tests/decisions/lineage.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use olivegate_sidecar::hop::Root;
+use olivegate_sidecar::hop::RootRequest;
 use olivegate_sidecar::lineage::{
     Arriving, ConnectionEvidence, Lineage, Origin, Parent, RunningKey, RunningRequest, Standing,
 };
-use olivegate_sidecar::reply::AnswerFault;
+use olivegate_sidecar::reply::ResponseFault;
 use olivegate_types::{Importance, Moment, SheddingRank};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -20,9 +20,20 @@
     Moment::from_millis(millis)
 }
 
-fn running(id: &str, route: &str, deadline: u64, repeat: f64) -> RunningRequest {
-    let root = Root { route: route.to_string(), importance: Importance(1), rank: SheddingRank(0), admitted: 1.0 };
-    RunningRequest { id: Bytes::copy_from_slice(id.as_bytes()), deadline: at(deadline), repeat, hop: 0, root }
+fn running(id: &str, route: &str, deadline: u64, retry_probability: f64) -> RunningRequest {
+    let root = RootRequest {
+        route: route.to_string(),
+        importance: Importance(1),
+        rank: SheddingRank(0),
+        admitted_fraction: 1.0,
+    };
+    RunningRequest {
+        id: Bytes::copy_from_slice(id.as_bytes()),
+        deadline: at(deadline),
+        retry_probability,
+        hop: 0,
+        root,
+    }
 }
 
 fn arriving<'a>(id: &'a str, route: &'a str, deadline: u64) -> Arriving<'a> {
@@ -291,13 +302,17 @@
     };
     let refused = parent_of(&mut lineage, "a.1");
     let broken = parent_of(&mut lineage, "b.1");
-    lineage.on_call_failed(refused, at(700), AnswerFault::Capacity, at(20));
-    lineage.on_call_failed(broken, at(700), AnswerFault::Callee, at(20));
-    assert_eq!(lineage.fault_of(keys["a"], 500, at(400)), AnswerFault::Capacity, "however late");
-    assert_eq!(lineage.fault_of(keys["b"], 500, at(21)), AnswerFault::Callee);
-    assert_eq!(lineage.fault_of(keys["c"], 500, at(21)), AnswerFault::Instance, "none of its calls failed");
-    assert_eq!(lineage.fault_of(keys["c"], 504, at(21)), AnswerFault::Callee, "given up at its deadline");
-    assert_eq!(lineage.fault_of(keys["a"], 200, at(400)), AnswerFault::None);
+    lineage.on_call_failed(refused, at(700), ResponseFault::Capacity, at(20));
+    lineage.on_call_failed(broken, at(700), ResponseFault::Callee, at(20));
+    assert_eq!(lineage.attribute_fault(keys["a"], 500, at(400)), ResponseFault::Capacity, "however late");
+    assert_eq!(lineage.attribute_fault(keys["b"], 500, at(21)), ResponseFault::Callee);
+    assert_eq!(
+        lineage.attribute_fault(keys["c"], 500, at(21)),
+        ResponseFault::Instance,
+        "none of its calls failed"
+    );
+    assert_eq!(lineage.attribute_fault(keys["c"], 504, at(21)), ResponseFault::Callee, "given up at its deadline");
+    assert_eq!(lineage.attribute_fault(keys["a"], 200, at(400)), ResponseFault::None);
 }
 
 #[rstest]
@@ -305,25 +320,28 @@
     let mut lineage = Lineage::default();
     let first = lineage.begin(running("a", "check", 1_000, 0.0));
     let second = lineage.begin(running("b", "check", 1_000, 0.0));
-    lineage.on_call_failed(Parent::Unknown, at(700), AnswerFault::Capacity, at(100));
-    assert_eq!(lineage.fault_of(first, 500, at(102)), AnswerFault::Capacity);
-    assert_eq!(lineage.fault_of(second, 500, at(102)), AnswerFault::Instance, "one call, one failure");
-    lineage.on_call_failed(Parent::Unknown, at(700), AnswerFault::Capacity, at(200));
-    assert_eq!(lineage.fault_of(second, 500, at(200) + Duration::from_millis(100)), AnswerFault::Instance);
+    lineage.on_call_failed(Parent::Unknown, at(700), ResponseFault::Capacity, at(100));
+    assert_eq!(lineage.attribute_fault(first, 500, at(102)), ResponseFault::Capacity);
+    assert_eq!(lineage.attribute_fault(second, 500, at(102)), ResponseFault::Instance, "one call, one failure");
+    lineage.on_call_failed(Parent::Unknown, at(700), ResponseFault::Capacity, at(200));
+    assert_eq!(
+        lineage.attribute_fault(second, 500, at(200) + Duration::from_millis(100)),
+        ResponseFault::Instance
+    );
 }
 
 #[rstest]
 fn a_call_is_a_repeat_as_its_parent_is_or_as_probably_as_what_runs() {
     let mut lineage = Lineage::default();
-    assert_eq!(lineage.repeat_part(Parent::Unknown), 0.0);
+    assert_eq!(lineage.retry_probability(Parent::Unknown), 0.0);
     let repeat = lineage.begin(running("a", "check", 100, 1.0));
     let first = lineage.begin(running("b", "check", 100, 0.0));
     lineage.begin(running("c", "check", 200, 0.5));
-    assert_eq!(lineage.repeat_part(Parent::Unknown), 0.5);
-    assert_eq!(lineage.repeat_part(Parent::Sure(repeat)), 1.0);
-    assert_eq!(lineage.repeat_part(Parent::Sure(first)), 0.0);
+    assert_eq!(lineage.retry_probability(Parent::Unknown), 0.5);
+    assert_eq!(lineage.retry_probability(Parent::Sure(repeat)), 1.0);
+    assert_eq!(lineage.retry_probability(Parent::Sure(first)), 0.0);
     lineage.end(repeat, at(50));
-    assert_eq!(lineage.repeat_part(Parent::Unknown), 0.25);
+    assert_eq!(lineage.retry_probability(Parent::Unknown), 0.25);
 }
 
 /// Calls carry no key, so one with a key is a client's, whatever its id and deadline look like.
--- a/crates/sidecar/tests/decisions/routes.rs
+++ b/crates/sidecar/tests/decisions/routes.rs
@@ -5,7 +5,7 @@
 use olivegate_sidecar::model::{
     ClientLimits, Configuration, ConfigurationVersion, Millis, RetrySafety, Route, WeightedService,
 };
-use olivegate_sidecar::routes::{RouteTable, WeightedDealer};
+use olivegate_sidecar::routes::{RouteTable, WeightedRoundRobin};
 use olivegate_types::ServiceName;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -57,10 +57,10 @@
     #[test]
     fn each_part_gets_its_share(weights in proptest::collection::vec(1_u32..100, 1..5), requests in 1_usize..400) {
         let route = route("r", "a", "/", &weights);
-        let mut dealer = WeightedDealer::default();
+        let mut weighted_round_robin = WeightedRoundRobin::default();
         let mut counts = vec![0_usize; weights.len()];
         for _ in 0..requests {
-            let service = dealer.deal(&route).unwrap();
+            let service = weighted_round_robin.next_service(&route).unwrap();
             let index = route.services.iter().position(|part| part.service == service).unwrap();
             counts[index] += 1;
         }
--- a/crates/sidecar/tests/decisions/shedding.rs
+++ b/crates/sidecar/tests/decisions/shedding.rs
@@ -4,7 +4,7 @@
 
 use olivegate_http1::{Fields, RequestHead};
 use olivegate_sidecar::gate::shedding::Sheds;
-use olivegate_sidecar::hop::{Offer, OfferedBody, Root};
+use olivegate_sidecar::hop::{Offer, OfferedBody, RootRequest};
 use olivegate_sidecar::importance::importance_of;
 use olivegate_sidecar::model::RetrySafety;
 use olivegate_types::{InstanceName, Moment, SheddingRank};
@@ -15,16 +15,16 @@
 /// Repeats a second that the gate may let through.
 const REPEATS: f64 = 40.0;
 
-fn root(route: &str, priority: u32, admitted: f64) -> Root {
-    Root {
+fn root(route: &str, priority: u32, admitted: f64) -> RootRequest {
+    RootRequest {
         route: route.into(),
         importance: importance_of(None, priority),
         rank: SheddingRank(0),
-        admitted: admitted as f32,
+        admitted_fraction: admitted as f32,
     }
 }
 
-fn call(root: Root, hop: u8) -> Offer {
+fn call(root: RootRequest, hop: u8) -> Offer {
     Offer {
         instance: InstanceName::new("i"),
         route: "ping".into(),
@@ -37,14 +37,14 @@
         body: OfferedBody::Whole(Default::default()),
         request_id: Default::default(),
         time_left_ms: 500,
-        longest_wait_ms: 50,
+        max_slot_wait_ms: 50,
         target_latency_ms: 300,
         root,
         hop,
         safety: RetrySafety::Safe,
-        is_repeat: false,
-        ended: Vec::new(),
-        inherited: 0.0,
+        is_retry: false,
+        reported_ends: Vec::new(),
+        parent_retry_probability: 0.0,
         needs_confirmation: false,
         declared: None,
     }
