--- a/crates/sidecar/src/edge/admission.rs
+++ b/crates/sidecar/src/edge/admission.rs
@@ -6,8 +6,8 @@
 use olivegate_types::{Moment, RefusalReason};
 use rand::RngExt;
 
-use crate::edge::own_answer::OwnAnswer;
-use crate::hop::{RootRequest, class_of};
+use crate::edge::local_response::OwnAnswer;
+use crate::gate_protocol::{RootRequest, class_of};
 use crate::importance::importance_of;
 use crate::model::Route;
 use crate::state::Node;
--- a/crates/sidecar/src/edge/request_lineage.rs
+++ b/crates/sidecar/src/edge/call_context.rs
@@ -3,7 +3,7 @@
 use olivegate_types::SheddingRank;
 use rand::RngExt;
 
-use crate::hop::RootRequest;
+use crate::gate_protocol::RootRequest;
 use crate::importance::importance_of;
 use crate::lineage::Parent;
 use crate::model::Route;
--- a/crates/sidecar/src/edge/connection.rs
+++ b/crates/sidecar/src/edge/connection.rs
@@ -21,9 +21,9 @@
 use tokio_util::codec::FramedRead;
 
 use crate::connection_limit::ConnectionPermit;
-use crate::edge::answering;
-use crate::edge::intake::{Intake, TakenRequest};
-use crate::edge::own_answer::OwnAnswer;
+use crate::edge::local_response::OwnAnswer;
+use crate::edge::request_assembly::{Intake, TakenRequest};
+use crate::edge::request_handler;
 use crate::lineage::ConnectionEvidence;
 use crate::model::ClientLimits;
 use crate::reply::{Body, IncompleteBody, Response};
@@ -185,7 +185,7 @@
         let evidence = self.evidence.clone();
         let in_flight = node.stop.track_request();
         self.pending.push_back(Box::pin(async move {
-            let answer = answering::answer(&node, taken, &evidence).await;
+            let answer = request_handler::answer(&node, taken, &evidence).await;
             Ready { answer, client_keeps, is_head, _in_flight: in_flight }
         }));
     }
--- a/crates/sidecar/src/edge/dispatch.rs
+++ b/crates/sidecar/src/edge/dispatch.rs
@@ -10,14 +10,14 @@
 use olivegate_types::{InstanceName, Moment, RefusalReason, ServiceName};
 
 use crate::edge::attempts::{Attempts, Next};
+use crate::edge::call_context::RequestLineage;
+use crate::edge::local_response::OwnAnswer;
 use crate::edge::outcome::{log_failed_attempt, log_offer};
-use crate::edge::own_answer::OwnAnswer;
 use crate::edge::remote;
 use crate::edge::request::CheckedRequest;
-use crate::edge::request_lineage::RequestLineage;
 use crate::gate;
 use crate::gate::confirmation::Confirmation;
-use crate::hop::{Offer, OfferedBody};
+use crate::gate_protocol::{Offer, OfferedBody};
 use crate::model::{Instance, RetrySafety};
 use crate::reply::{Body, BodyStream, Failure, FailureReason, GateReply, Load, Response, ResponseFault};
 use crate::state::Node;
--- a/crates/sidecar/src/edge/hop_pool.rs
+++ b/crates/sidecar/src/edge/gate_connection_pool.rs
@@ -7,7 +7,7 @@
 
 use tokio::time::Instant;
 
-use crate::hop::{self, GateStream};
+use crate::gate_protocol::{self, GateStream};
 use crate::transport;
 
 /// Time limit of a connection to a gate.
@@ -41,7 +41,7 @@
     pub async fn connection(&self, address: SocketAddr) -> std::io::Result<GateStream> {
         match self.take(address) {
             Some(stream) => Ok(stream),
-            None => Ok(hop::framed(transport::connect(address, CONNECT_LIMIT).await?)),
+            None => Ok(gate_protocol::framed(transport::connect(address, CONNECT_LIMIT).await?)),
         }
     }
 
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -1,31 +1,31 @@
 //! The edge: requests that begin on this machine.
 //!
 //! - [`connection`]: one connection of a client or of the instance.
-//! - [`intake`]: a request from the pieces of its message.
+//! - [`request_assembly`]: a request from the pieces of its message.
 //! - [`request`]: what the headers of a request say.
-//! - [`request_lineage`]: what a request hands down to its calls.
-//! - [`entrance`]: whose a request is, and whether its tenant has room for it.
+//! - [`call_context`]: what a request hands down to its calls.
+//! - [`tenant_checks`]: whose a request is, and whether its tenant has room for it.
 //! - [`admission`]: which requests may begin.
-//! - [`answering`]: a request's way to its one answer.
+//! - [`request_handler`]: a request's way to its one answer.
 //! - [`dispatch`]: instance and attempts.
 //! - [`attempts`]: what follows an attempt without an answer.
-//! - [`remote`] and [`hop_pool`]: offers to gates on other machines.
+//! - [`remote`] and [`gate_connection_pool`]: offers to gates on other machines.
 //! - [`outcome`]: how a request fared, and the log lines that tell it.
-//! - [`own_answer`]: answers that the node gives itself.
+//! - [`local_response`]: answers that the node gives itself.
 
 pub mod admission;
-pub mod answering;
 pub mod attempts;
+pub mod call_context;
 pub mod connection;
 pub mod dispatch;
-pub mod entrance;
-pub mod hop_pool;
-pub mod intake;
+pub mod gate_connection_pool;
+pub mod local_response;
 pub mod outcome;
-pub mod own_answer;
 pub mod remote;
 pub mod request;
-pub mod request_lineage;
+pub mod request_assembly;
+pub mod request_handler;
+pub mod tenant_checks;
 
 use std::rc::Rc;
 
--- a/crates/sidecar/src/edge/outcome.rs
+++ b/crates/sidecar/src/edge/outcome.rs
@@ -6,7 +6,7 @@
 use olivegate_authentication::Tenant;
 use olivegate_types::Moment;
 
-use crate::edge::own_answer::OwnAnswer;
+use crate::edge::local_response::OwnAnswer;
 use crate::edge::request::CheckedRequest;
 use crate::event::{LogClass, display_id};
 use crate::lineage::Origin;
--- a/crates/sidecar/src/edge/remote.rs
+++ b/crates/sidecar/src/edge/remote.rs
@@ -9,7 +9,7 @@
 use olivegate_types::{InstanceName, Refusal};
 use tokio::time::Instant;
 
-use crate::hop::{self, EdgeMessage, GateMessage, GateStream, Offer, SILENCE_LIMIT, SUSPECT_AFTER};
+use crate::gate_protocol::{self, EdgeMessage, GateMessage, GateStream, Offer, SILENCE_LIMIT, SUSPECT_AFTER};
 use crate::reply::{Body, BodyStream, Failure, FailureReason, GateReply, IncompleteBody, Load, Response};
 use crate::state::Node;
 use olivegate_clock as clock;
@@ -92,7 +92,7 @@
 
 impl Exchange<'_> {
     async fn send(&mut self, message: EdgeMessage) -> std::io::Result<()> {
-        self.stream.send(hop::encode(&message)).await
+        self.stream.send(gate_protocol::encode(&message)).await
     }
 
     /// The gate's reply; sends the body meanwhile and confirms when a slot is granted.
@@ -129,7 +129,7 @@
     fn message_of(&self, frame: Option<std::io::Result<BytesMut>>) -> Result<GateMessage, Failure> {
         let lost = || self.progress.failure(FailureReason::GateLost);
         let frame = frame.and_then(Result::ok).ok_or_else(lost)?;
-        hop::decode(&frame).map_err(|_| lost())
+        gate_protocol::decode(&frame).map_err(|_| lost())
     }
 
     async fn confirm(&mut self) -> Result<(), Failure> {
@@ -200,7 +200,7 @@
     let pieces = futures::stream::unfold(Some(stream), |state| async move {
         let mut stream = state?;
         let message = match stream.next().await {
-            Some(Ok(frame)) => hop::decode(&frame).ok(),
+            Some(Ok(frame)) => gate_protocol::decode(&frame).ok(),
             _ => None,
         };
         match message {
--- a/crates/sidecar/src/edge/request.rs
+++ b/crates/sidecar/src/edge/request.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use olivegate_http1::RequestHead;
 
-use crate::edge::own_answer::OwnAnswer;
+use crate::edge::local_response::OwnAnswer;
 use crate::model::Route;
 use crate::routes::RouteTable;
 use crate::wire_names::WireNames;
--- a/crates/sidecar/src/edge/answering.rs
+++ b/crates/sidecar/src/edge/request_handler.rs
@@ -10,13 +10,13 @@
 use olivegate_types::{Moment, RefusalReason};
 
 use crate::edge::admission;
+use crate::edge::call_context::RequestLineage;
 use crate::edge::dispatch::dispatch;
-use crate::edge::entrance;
-use crate::edge::intake::TakenRequest;
+use crate::edge::local_response::OwnAnswer;
 use crate::edge::outcome::{CancelLog, Outcome, log_answer, log_own_answer};
-use crate::edge::own_answer::OwnAnswer;
 use crate::edge::request::{self, CheckedRequest};
-use crate::edge::request_lineage::RequestLineage;
+use crate::edge::request_assembly::TakenRequest;
+use crate::edge::tenant_checks;
 use crate::lateness;
 use crate::lineage::{Arriving, ConnectionEvidence, Origin};
 use crate::reply::{Response, ResponseFault};
@@ -88,8 +88,8 @@
         is_keyed: key.is_some() && node.access.has_tenants(),
     };
     outcome.origin = node.lineage.borrow_mut().classify(arriving, connection, arrived);
-    outcome.tenant = entrance::tenant_of(node, key.as_deref(), &route, arrived)?;
-    let place = entrance::take_place(node, outcome.tenant.as_deref(), arrived)?;
+    outcome.tenant = tenant_checks::tenant_of(node, key.as_deref(), &route, arrived)?;
+    let place = tenant_checks::take_place(node, outcome.tenant.as_deref(), arrived)?;
     let result = begin(node, taken, request, arrived, outcome).await;
     if let (Some(place), Err(OwnAnswer::NotRun { .. })) = (place, &result) {
         node.access.give_back(place, clock::now());
--- a/crates/sidecar/src/edge/entrance.rs
+++ b/crates/sidecar/src/edge/tenant_checks.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 
 use crate::access::QuotaPlace;
-use crate::edge::own_answer::{OwnAnswer, UNAUTHORIZED};
+use crate::edge::local_response::{OwnAnswer, UNAUTHORIZED};
 use crate::model::Route;
 use crate::state::Node;
 
--- a/crates/sidecar/src/gate/admission.rs
+++ b/crates/sidecar/src/gate/admission.rs
@@ -6,7 +6,7 @@
 use olivegate_overload::retry_after::retry_after_level;
 use olivegate_types::{Moment, Refusal, RefusalReason};
 
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::state::Node;
 
 /// Refuses a client's request that its calls' services have no room for. Calls are never held
--- a/crates/sidecar/src/gate/confirmation.rs
+++ b/crates/sidecar/src/gate/confirmation.rs
@@ -2,7 +2,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::hop::CONFIRM_LIMIT;
+use crate::gate_protocol::CONFIRM_LIMIT;
 
 /// The gate's side: asks for the confirmation once there is a slot.
 pub enum Confirmation {
--- a/crates/sidecar/src/gate/exchange.rs
+++ b/crates/sidecar/src/gate/exchange.rs
@@ -20,7 +20,7 @@
 use crate::gate::instance_connection::{InstanceConnection, InstanceConnections};
 use crate::gate::notice::Notice;
 use crate::gate::slots::InstanceSlots;
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::reply::{Body, Failure, FailureReason, IncompleteBody, Response, ResponseFault};
 use crate::state::Node;
 
--- a/crates/sidecar/src/gate/identity.rs
+++ b/crates/sidecar/src/gate/identity.rs
@@ -11,7 +11,7 @@
 use olivegate_types::{InstanceName, Moment};
 use tokio::sync::watch;
 
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use olivegate_clock as clock;
 
 /// Longest time that a question holds a request up.
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -51,7 +51,7 @@
 
 use crate::directory::InstanceStatus;
 use crate::event::{LogClass, display_id};
-use crate::hop::{CALLER_GROUP, Offer, RootRequest};
+use crate::gate_protocol::{CALLER_GROUP, Offer, RootRequest};
 use crate::lateness;
 use crate::model::{Incarnation, Instance, InstanceState};
 use crate::reply::{Body, Failure, FailureReason, GateReply, Load, refused};
--- a/crates/sidecar/src/gate/presence.rs
+++ b/crates/sidecar/src/gate/presence.rs
@@ -21,7 +21,7 @@
 use super::notice::{Notice, RateNotice};
 use super::slots::InstanceSlots;
 use super::{SHORT_RETRY_AFTER, meet_instance, successor_of};
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::reply::{Failure, FailureReason, GateReply};
 use crate::state::Node;
 use olivegate_clock as clock;
--- a/crates/sidecar/src/gate/quarantine/admission.rs
+++ b/crates/sidecar/src/gate/quarantine/admission.rs
@@ -11,7 +11,7 @@
 use super::GateQuarantine;
 use super::run_content::RunContent;
 use crate::event::{LogClass, display_id};
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::reply::{Body, IncompleteBody};
 use crate::state::Node;
 use olivegate_clock as clock;
--- a/crates/sidecar/src/gate/quarantine/run_content.rs
+++ b/crates/sidecar/src/gate/quarantine/run_content.rs
@@ -10,7 +10,7 @@
 use olivegate_quarantine::{ContentDigest, ContentHasher, SuspectedContent};
 
 use crate::event::display_id;
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::reply::{Body, BodyStream};
 use crate::state::Node;
 
--- a/crates/sidecar/src/gate/quarantine/watched_run.rs
+++ b/crates/sidecar/src/gate/quarantine/watched_run.rs
@@ -10,7 +10,7 @@
 use super::run_content::RunContent;
 use super::run_history::Run;
 use crate::gate::slots::InstanceSlots;
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::reply::{Body, BodyStream, FailureReason, Response};
 use crate::state::Node;
 use olivegate_clock as clock;
--- a/crates/sidecar/src/gate/repeats.rs
+++ b/crates/sidecar/src/gate/repeats.rs
@@ -9,7 +9,7 @@
 use olivegate_retry::{RepeatBudget, RepeatPolicy};
 use olivegate_types::Moment;
 
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::reply::ResponseFault;
 use crate::state::Node;
 
--- a/crates/sidecar/src/gate/running.rs
+++ b/crates/sidecar/src/gate/running.rs
@@ -4,7 +4,7 @@
 
 use olivegate_types::Moment;
 
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::lineage::{Lineage, RunningKey, RunningRequest};
 use olivegate_clock as clock;
 
--- a/crates/sidecar/src/gate/serve.rs
+++ b/crates/sidecar/src/gate/serve.rs
@@ -10,7 +10,7 @@
 use crate::connection_limit::ConnectionPermit;
 use crate::gate::confirmation::{GrantRelay, confirmation};
 use crate::gate::run_offer;
-use crate::hop::{self, EdgeMessage, GateMessage, GateStream, Offer, OfferedBody, PROGRESS_INTERVAL};
+use crate::gate_protocol::{self, EdgeMessage, GateMessage, GateStream, Offer, OfferedBody, PROGRESS_INTERVAL};
 use crate::peers;
 use crate::reply::{Body, GateReply, IncompleteBody, Load, Response};
 use crate::state::Node;
@@ -27,7 +27,7 @@
 }
 
 async fn connection(node: Rc<Node>, stream: TcpStream, place: ConnectionPermit) {
-    let mut stream = hop::framed(stream);
+    let mut stream = gate_protocol::framed(stream);
     loop {
         let frame = tokio::select! {
             biased;
@@ -36,11 +36,11 @@
         };
         let Some(Ok(frame)) = frame else { return };
         place.mark_busy();
-        let goes_on = match hop::decode::<EdgeMessage>(&frame) {
+        let goes_on = match gate_protocol::decode::<EdgeMessage>(&frame) {
             Ok(EdgeMessage::Offer(offer)) => serve_offer(&node, &mut stream, *offer).await,
             Ok(EdgeMessage::Fetch(known)) => {
                 let update = peers::cluster_update_for(&node, known);
-                stream.send(hop::encode(&update)).await.is_ok()
+                stream.send(gate_protocol::encode(&update)).await.is_ok()
             }
             Ok(EdgeMessage::Data(_) | EdgeMessage::End | EdgeMessage::Confirm) | Err(_) => false,
         };
@@ -66,7 +66,7 @@
         OfferedBody::Whole(bytes) => (Body::Whole(bytes.clone()), Feed::Closed),
         OfferedBody::Streamed(length) => {
             let (sender, receiver) = mpsc::channel(BODY_PIECES);
-            (Body::Stream(crate::edge::intake::body_stream(receiver), *length), Feed::Open(sender))
+            (Body::Stream(crate::edge::request_assembly::body_stream(receiver), *length), Feed::Open(sender))
         }
     }
 }
@@ -91,14 +91,14 @@
                 None => return false,
             },
             () = relay.granted() => {
-                if stream.send(hop::encode(&GateMessage::Granted)).await.is_err() {
+                if stream.send(gate_protocol::encode(&GateMessage::Granted)).await.is_err() {
                     return false;
                 }
             }
             reply = &mut running => break reply,
             next = make_room(&mut feed), if is_full => feed = next,
             _ = progress.tick() => {
-                if stream.send(hop::encode(&GateMessage::Progress)).await.is_err() {
+                if stream.send(gate_protocol::encode(&GateMessage::Progress)).await.is_err() {
                     return false;
                 }
             }
@@ -111,7 +111,7 @@
 /// What a frame makes of the feed; `None` when the edge gave up or broke the protocol.
 fn next_feed(feed: Feed, frame: Option<std::io::Result<bytes::BytesMut>>, relay: &mut GrantRelay) -> Option<Feed> {
     let frame = frame?.ok()?;
-    match (hop::decode::<EdgeMessage>(&frame).ok()?, feed) {
+    match (gate_protocol::decode::<EdgeMessage>(&frame).ok()?, feed) {
         (EdgeMessage::Confirm, feed) => {
             relay.confirm();
             Some(feed)
@@ -148,7 +148,7 @@
         GateReply::Failed(failure) => GateMessage::Failed { failure, load },
         GateReply::Answered(answer) => return send_answer(stream, answer, load).await,
     };
-    stream.send(hop::encode(&message)).await.is_ok()
+    stream.send(gate_protocol::encode(&message)).await.is_ok()
 }
 
 async fn send_answer(stream: &mut GateStream, answer: Response, load: Load) -> bool {
@@ -156,11 +156,11 @@
     match body {
         Body::Whole(bytes) => {
             let message = GateMessage::Answered { head, body: Some(bytes), length: None, fault, load };
-            stream.send(hop::encode(&message)).await.is_ok()
+            stream.send(gate_protocol::encode(&message)).await.is_ok()
         }
         Body::Stream(mut pieces, length) => {
             let message = GateMessage::Answered { head, body: None, length, fault, load };
-            if stream.send(hop::encode(&message)).await.is_err() {
+            if stream.send(gate_protocol::encode(&message)).await.is_err() {
                 return false;
             }
             loop {
@@ -169,7 +169,7 @@
                     None => return false,
                 };
                 let is_last = !matches!(message, GateMessage::Data(_));
-                if stream.send(hop::encode(&message)).await.is_err() {
+                if stream.send(gate_protocol::encode(&message)).await.is_err() {
                     return false;
                 }
                 if is_last {
--- a/crates/sidecar/src/gate/shedding.rs
+++ b/crates/sidecar/src/gate/shedding.rs
@@ -11,7 +11,7 @@
 use olivegate_overload::{ClassKey, DemandLevels};
 use olivegate_types::Moment;
 
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::importance::route_priority_first;
 
 /// Time constant of the counts: what is held back does not arrive to show that the shedding is
--- a/crates/sidecar/src/gate/slot.rs
+++ b/crates/sidecar/src/gate/slot.rs
@@ -6,7 +6,7 @@
 use olivegate_overload::TicketId;
 
 use crate::gate::slots::{InstanceSlots, SAMPLE_WEIGHT};
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::reply::{Body, Failure, FailureReason, Response, ResponseFault};
 use olivegate_clock as clock;
 
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -19,7 +19,7 @@
 use crate::gate::notice::RateNotice;
 use crate::gate::shedding::Sheds;
 use crate::gate::slot::Slot;
-use crate::hop::Offer;
+use crate::gate_protocol::Offer;
 use crate::model::{Incarnation, Instance, Millis};
 use crate::reply::{Load, SelfReport};
 use olivegate_clock as clock;
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -23,7 +23,7 @@
 //! - [`connection_limit`]: bounds the connections that a port holds.
 //! - [`edge`]: connections of callers and the attempts of their requests.
 //! - [`gate`]: the queue in front of the instance and the exchanges with it.
-//! - [`hop`]: messages between edge and gate.
+//! - [`gate_protocol`]: messages between edge and gate.
 //! - [`lateness`]: measures whether this process keeps up.
 //! - [`peers`]: what nodes tell each other.
 //! - [`status_port`]: readiness and metrics.
@@ -39,7 +39,7 @@
 pub mod event;
 pub mod follow;
 pub mod gate;
-pub mod hop;
+pub mod gate_protocol;
 pub mod importance;
 pub mod lateness;
 pub mod lineage;
--- a/crates/sidecar/src/lineage/mod.rs
+++ b/crates/sidecar/src/lineage/mod.rs
@@ -26,7 +26,7 @@
 use bytes::Bytes;
 use olivegate_types::Moment;
 
-use crate::hop::RootRequest;
+use crate::gate_protocol::RootRequest;
 use crate::reply::ResponseFault;
 use evidence::RouteEvidence;
 pub use evidence::{ConnectionEvidence, Sign, Standing};
--- a/crates/sidecar/src/peers/mod.rs
+++ b/crates/sidecar/src/peers/mod.rs
@@ -24,7 +24,7 @@
 use rand::seq::IteratorRandom;
 use tokio::net::UdpSocket;
 
-use crate::hop::{self, EdgeMessage, GateMessage, KnownState};
+use crate::gate_protocol::{self, EdgeMessage, GateMessage, KnownState};
 use crate::model::Millis;
 use crate::state::Node;
 use attestation::Attestation;
@@ -190,9 +190,9 @@
 async fn fetch_from(node: &Node, peer: IpAddr) -> std::io::Result<()> {
     let address = node.settings().inbound_of(peer);
     let mut stream = node.gate_connections.connection(address).await?;
-    stream.send(hop::encode(&EdgeMessage::Fetch(node.known_state()))).await?;
+    stream.send(gate_protocol::encode(&EdgeMessage::Fetch(node.known_state()))).await?;
     let frame = stream.next().await.ok_or(std::io::ErrorKind::UnexpectedEof)??;
-    let GateMessage::ClusterUpdate { configuration, directory, reading } = hop::decode(&frame)? else {
+    let GateMessage::ClusterUpdate { configuration, directory, reading } = gate_protocol::decode(&frame)? else {
         return Err(std::io::ErrorKind::InvalidData.into());
     };
     node.gate_connections.keep(address, stream);
@@ -282,5 +282,5 @@
 
 async fn send_to(node: &Node, socket: &UdpSocket, machine: IpAddr, message: &PeerMessage) {
     // A datagram that can't be sent is lost like any other; the next one follows.
-    let _ = socket.send_to(&hop::encode(message), node.settings().peers_of(machine)).await;
+    let _ = socket.send_to(&gate_protocol::encode(message), node.settings().peers_of(machine)).await;
 }
--- a/crates/sidecar/src/peers/suspects.rs
+++ b/crates/sidecar/src/peers/suspects.rs
@@ -18,7 +18,7 @@
 
 use super::{MAX_DATAGRAM, PeerMessage, send_to};
 use crate::gate::quarantine::ReportOrigin;
-use crate::hop;
+use crate::gate_protocol;
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -108,7 +108,7 @@
     let mut parts: Vec<Vec<SuspectReport>> = Vec::new();
     let mut bytes = MOST_REPORT_BYTES;
     for report in reports {
-        let size = hop::encode(&report).len();
+        let size = gate_protocol::encode(&report).len();
         if bytes + size > MOST_REPORT_BYTES {
             parts.push(Vec::new());
             bytes = 0;
--- a/crates/sidecar/tests/decisions/lineage.rs
+++ b/crates/sidecar/tests/decisions/lineage.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use olivegate_sidecar::hop::RootRequest;
+use olivegate_sidecar::gate_protocol::RootRequest;
 use olivegate_sidecar::lineage::{
     Arriving, ConnectionEvidence, Lineage, Origin, Parent, RunningKey, RunningRequest, Standing,
 };
--- a/crates/sidecar/tests/decisions/shedding.rs
+++ b/crates/sidecar/tests/decisions/shedding.rs
@@ -4,7 +4,7 @@
 
 use olivegate_http1::{Fields, RequestHead};
 use olivegate_sidecar::gate::shedding::Sheds;
-use olivegate_sidecar::hop::{Offer, OfferedBody, RootRequest};
+use olivegate_sidecar::gate_protocol::{Offer, OfferedBody, RootRequest};
 use olivegate_sidecar::importance::importance_of;
 use olivegate_sidecar::model::RetrySafety;
 use olivegate_types::{InstanceName, Moment, SheddingRank};
--- a/crates/sidecar/tests/decisions/suspects.rs
+++ b/crates/sidecar/tests/decisions/suspects.rs
@@ -1,7 +1,7 @@
 //! What gates tell each other of suspects fits into datagrams.
 
 use olivegate_quarantine::{Age, ContentDigest, ReportedEnd, SuspectReport, SuspectedContent};
-use olivegate_sidecar::hop;
+use olivegate_sidecar::gate_protocol;
 use olivegate_sidecar::peers::suspects::{Purpose, SuspectNews, datagrams};
 use olivegate_sidecar::peers::{MAX_DATAGRAM, PeerMessage};
 use olivegate_types::{InstanceName, ServiceName};
@@ -33,7 +33,7 @@
     for part in &parts {
         let service = ServiceName::new("a-service");
         let news = SuspectNews { service, reports: part.clone(), purpose: Purpose::Tell };
-        let size = hop::encode(&PeerMessage::Suspects(news)).len();
+        let size = gate_protocol::encode(&PeerMessage::Suspects(news)).len();
         assert!(size <= MAX_DATAGRAM, "{size} bytes");
     }
     assert_eq!(parts.concat(), reports);
--- a/crates/sidecar/tests/path/calls.rs
+++ b/crates/sidecar/tests/path/calls.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use olivegate_clock as clock;
-use olivegate_sidecar::hop::class_of;
+use olivegate_sidecar::gate_protocol::class_of;
 use olivegate_sidecar::importance::importance_of;
 use olivegate_sidecar::model::RetrySafety::Safe;
 use olivegate_sidecar::state::Node;
--- a/crates/sidecar/tests/path/gates.rs
+++ b/crates/sidecar/tests/path/gates.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures::{SinkExt, StreamExt};
-use olivegate_sidecar::hop::{self, EdgeMessage, GateMessage};
+use olivegate_sidecar::gate_protocol::{self, EdgeMessage, GateMessage};
 use olivegate_sidecar::model::RetrySafety::{Safe, Unsafe};
 use rstest::rstest;
 use tokio::net::TcpListener;
@@ -31,14 +31,15 @@
     let listener = TcpListener::bind(address).await.unwrap();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let mut stream = hop::framed(stream);
+            let mut stream = gate_protocol::framed(stream);
             spawn_local(async move {
                 while let Some(Ok(frame)) = stream.next().await {
-                    let is_offer = matches!(hop::decode::<EdgeMessage>(&frame), Ok(EdgeMessage::Offer(_)));
+                    let is_offer =
+                        matches!(gate_protocol::decode::<EdgeMessage>(&frame), Ok(EdgeMessage::Offer(_)));
                     match gate {
                         Gate::Lost => return,
                         Gate::FrozenAfterGrant if is_offer => {
-                            stream.send(hop::encode(&GateMessage::Granted)).await.unwrap();
+                            stream.send(gate_protocol::encode(&GateMessage::Granted)).await.unwrap();
                         }
                         _ => {}
                     }
@@ -115,11 +116,11 @@
         let script = |seen: &Seen, _| vec![Action::Send(answer(200, &seen.id(), "ok"))];
         let instance = TestInstance::start(fleet.instance_address(3), script).await;
         Fleet::ready(&fleet.start(3, "books").await).await;
-        let mut stream = hop::framed(tokio::net::TcpStream::connect(fleet.inbound(3)).await.unwrap());
-        stream.send(hop::encode(&EdgeMessage::Offer(Box::new(offer())))).await.unwrap();
+        let mut stream = gate_protocol::framed(tokio::net::TcpStream::connect(fleet.inbound(3)).await.unwrap());
+        stream.send(gate_protocol::encode(&EdgeMessage::Offer(Box::new(offer())))).await.unwrap();
         let mut told = Vec::new();
         while let Ok(Some(Ok(frame))) = tokio::time::timeout(Duration::from_secs(2), stream.next()).await {
-            told.push(hop::decode::<GateMessage>(&frame).unwrap());
+            told.push(gate_protocol::decode::<GateMessage>(&frame).unwrap());
             if matches!(told.last(), Some(GateMessage::Refused { .. })) {
                 break;
             }
@@ -141,8 +142,8 @@
         })
         .await;
         Fleet::ready(&fleet.start(2, "books").await).await;
-        let offer = hop::Offer { safety: Safe, needs_confirmation: false, ..offer() };
-        let message = hop::encode(&EdgeMessage::Offer(Box::new(offer)));
+        let offer = gate_protocol::Offer { safety: Safe, needs_confirmation: false, ..offer() };
+        let message = gate_protocol::encode(&EdgeMessage::Offer(Box::new(offer)));
         // All on one thread: the gate reads nothing before the edge has closed.
         let mut edge = std::net::TcpStream::connect(fleet.inbound(2)).unwrap();
         std::io::Write::write_all(&mut edge, &u32::try_from(message.len()).unwrap().to_be_bytes()).unwrap();
@@ -153,8 +154,8 @@
     });
 }
 
-fn offer() -> hop::Offer {
-    hop::Offer {
+fn offer() -> gate_protocol::Offer {
+    gate_protocol::Offer {
         instance: olivegate_types::InstanceName::new("books-2"),
         route: "once".into(),
         head: olivegate_http1::RequestHead {
@@ -163,12 +164,12 @@
             minor_version: 1,
             fields: olivegate_http1::Fields::default(),
         },
-        body: hop::OfferedBody::Whole("x".into()),
+        body: gate_protocol::OfferedBody::Whole("x".into()),
         request_id: "r1".into(),
         time_left_ms: 5_000,
         max_slot_wait_ms: 100,
         target_latency_ms: 1_000,
-        root: hop::RootRequest {
+        root: gate_protocol::RootRequest {
             route: "once".into(),
             importance: olivegate_types::Importance::PROTECTED,
             rank: olivegate_types::SheddingRank(0),
