--- a/crates/sidecar/src/directory/belief.rs
+++ b/crates/sidecar/src/directory/local_evidence.rs
@@ -8,7 +8,7 @@
 
 use olivegate_types::{InstanceName, Moment};
 
-use super::hold::{Hold, HoldReason, SourceHealth};
+use super::retention::{Hold, HoldReason, SourceHealth};
 use super::{Directory, Entry, InstanceStatus, MACHINE_MEMORY};
 use crate::model::{Incarnation, Instance, InstanceState, Revision};
 
--- a/crates/sidecar/src/directory/mod.rs
+++ b/crates/sidecar/src/directory/mod.rs
@@ -15,19 +15,19 @@
 //! known here. That state is taken over as all that the source holds, but nothing of what was
 //! learnt of instances is forgotten for it.
 //!
-//! - `update`: taking over what the source says.
-//! - `belief`: what is believed beside that, and when it ends.
-//! - [`hold`]: how long an instance that is not listed is believed.
+//! - `source_update`: taking over what the source says.
+//! - `local_evidence`: what is believed beside that, and when it ends.
+//! - [`retention`]: how long an instance that is not listed is believed.
 //! - `leaving`: instances that say themselves that they leave.
 //! - `prior`: what was known of an instance that is listed anew.
-//! - [`copy`]: what nodes pass on.
+//! - [`peer_update`]: what nodes pass on.
 
-mod belief;
-pub mod copy;
-pub mod hold;
 mod leaving;
+mod local_evidence;
+pub mod peer_update;
 mod prior;
-mod update;
+pub mod retention;
+mod source_update;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -38,8 +38,8 @@
 
 use crate::model::{Epoch, Incarnation, Instance, InstanceState, Revision};
 use crate::source::ListedInstance;
-use hold::{Hold, HoldPolicy, SourceHealth};
 use leaving::SaidLeaving;
+use retention::{Hold, HoldPolicy, SourceHealth};
 
 /// How long machines are remembered after their last entry.
 const MACHINE_MEMORY: Duration = Duration::from_secs(60);
--- a/crates/sidecar/src/directory/copy.rs
+++ b/crates/sidecar/src/directory/peer_update.rs
@@ -5,7 +5,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_types::{InstanceName, Moment};
 
-use super::hold::{Hold, HoldReason, PassedHold};
+use super::retention::{Hold, HoldReason, PassedHold};
 use super::{Directory, Entry, Tombstone};
 use crate::model::{Instance, Millis, Revision};
 use crate::source::ListedInstance;
--- a/crates/sidecar/src/directory/update.rs
+++ b/crates/sidecar/src/directory/source_update.rs
@@ -5,8 +5,8 @@
 
 use olivegate_types::{InstanceName, Moment};
 
-use super::hold::SourceHealth;
 use super::prior::{Prior, Taken};
+use super::retention::SourceHealth;
 use super::{Directory, Entry, InstanceStatus, Tombstone};
 use crate::model::{Epoch, InstanceState, Revision};
 use crate::source::{Change, ListedInstance};
--- a/crates/sidecar/src/gate_protocol.rs
+++ b/crates/sidecar/src/gate_protocol.rs
@@ -19,7 +19,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 use crate::declared::RateRecord;
-use crate::directory::copy::DirectoryCopy;
+use crate::directory::peer_update::DirectoryCopy;
 use crate::model::{Configuration, ConfigurationVersion, Instance, RetrySafety, Revision};
 use crate::peers::AnnouncedReading;
 use crate::reply::{Failure, Load, ResponseFault};
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -16,7 +16,7 @@
 
 use crate::access::Access;
 use crate::declared::DeclaredRates;
-use crate::directory::hold::HoldPolicy;
+use crate::directory::retention::HoldPolicy;
 use crate::directory::{Directory, InstanceStatus};
 use crate::edge::gate_connection_pool::GateConnectionPool;
 use crate::event::{LogBudgets, LogClass};
--- a/crates/sidecar/tests/decisions/epochs.rs
+++ b/crates/sidecar/tests/decisions/epochs.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use olivegate_sidecar::directory::hold::HoldPolicy;
+use olivegate_sidecar::directory::retention::HoldPolicy;
 use olivegate_sidecar::directory::{Directory, InstanceStatus};
 use olivegate_sidecar::model::{Epoch, Incarnation, Instance, InstanceState, Revision};
 use olivegate_sidecar::source::{Change, ListedInstance};
