--- a/crates/sidecar/src/directory/peer_update.rs
+++ b/crates/sidecar/src/directory/peer_update.rs
@@ -34,7 +34,7 @@
 
 /// What a node passes on to one that knows less.
 #[derive(Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
-pub struct DirectoryCopy {
+pub struct DirectoryUpdate {
     /// The state that it adds to; `None` when it is all there is.
     pub base: Option<Revision>,
     /// Entries that are newer than the base, and all that are held.
@@ -47,7 +47,7 @@
 
 impl Directory {
     /// Takes over what another node knows, when that is newer. True when anything changed.
-    pub fn apply_copy(&mut self, copy: &DirectoryCopy, now: Moment) -> bool {
+    pub fn apply_update(&mut self, copy: &DirectoryUpdate, now: Moment) -> bool {
         if copy.revision <= self.revision || copy.base.is_some_and(|base| base > self.revision) {
             return false;
         }
@@ -105,7 +105,7 @@
 
     /// What a node that knows the state `known` lacks: the changes since, or everything when
     /// removals since then are no longer remembered.
-    pub fn copy_since(&self, known: Revision, now: Moment) -> DirectoryCopy {
+    pub fn update_since(&self, known: Revision, now: Moment) -> DirectoryUpdate {
         let is_whole = known < self.gone_since || known == Revision::default();
         let base = if is_whole { None } else { Some(known) };
         let is_news = |entry: &&Entry| is_whole || entry.revision > known || entry.hold.is_some();
@@ -113,7 +113,7 @@
             instance: Instance::clone(&entry.instance),
             revision: entry.revision,
             hold: entry.hold.map(|hold| hold.to_passed(now)),
-            doubted_for: entry.doubted_until.map(|until| Millis::of(until.since(now))),
+            doubted_for: entry.doubted_until.map(|until| Millis::from_duration(until.since(now))),
         });
         // A node of an earlier epoch may know what the source has lost, and not what has gone since.
         let is_of_earlier_epoch = known != Revision::default() && known.epoch < self.revision.epoch;
@@ -121,6 +121,6 @@
         let is_told = |tombstone: &Tombstone| tombstone.revision != Revision::default();
         let removed = self.gone.iter().filter(|(_, gone)| is_told(gone) && is_lacking(gone.revision));
         let gone = removed.map(|(name, tombstone)| GoneEntry { name: name.clone(), revision: tombstone.revision });
-        DirectoryCopy { base, entries: entries.collect(), gone: gone.collect(), revision: self.revision }
+        DirectoryUpdate { base, entries: entries.collect(), gone: gone.collect(), revision: self.revision }
     }
 }
--- a/crates/sidecar/src/directory/retention.rs
+++ b/crates/sidecar/src/directory/retention.rs
@@ -92,7 +92,11 @@
 
     /// To be passed on.
     pub fn to_passed(self, now: Moment) -> PassedHold {
-        PassedHold { reason: self.reason, left: Millis::of(self.until.since(now)), removed: self.removed }
+        PassedHold {
+            reason: self.reason,
+            left: Millis::from_duration(self.until.since(now)),
+            removed: self.removed,
+        }
     }
 
     /// True when it has ended. Nothing that was met can be listed while the source is away.
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -249,7 +249,7 @@
         let declared = self.declared.get().record();
         let has_said = is_leaving || declared.was_ever_limited();
         has_said.then(|| {
-            let retry_after = Millis::of(self.return_after(clock::now()));
+            let retry_after = Millis::from_duration(self.return_after(clock::now()));
             SelfReport { declared, is_leaving, retry_after }
         })
     }
--- a/crates/sidecar/src/gate_protocol.rs
+++ b/crates/sidecar/src/gate_protocol.rs
@@ -19,7 +19,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 use crate::declared::RateRecord;
-use crate::directory::peer_update::DirectoryCopy;
+use crate::directory::peer_update::DirectoryUpdate;
 use crate::model::{Configuration, ConfigurationVersion, Instance, RetrySafety, Revision};
 use crate::peers::AnnouncedReading;
 use crate::reply::{Failure, Load, ResponseFault};
@@ -182,7 +182,7 @@
         /// A newer configuration.
         configuration: Option<Configuration>,
         /// A newer directory.
-        directory: Option<DirectoryCopy>,
+        directory: Option<DirectoryUpdate>,
         /// The latest reading of the source that it knows of.
         reading: Option<AnnouncedReading>,
     },
--- a/crates/sidecar/src/model.rs
+++ b/crates/sidecar/src/model.rs
@@ -99,7 +99,7 @@
 
 impl Millis {
     /// The whole milliseconds of a span; the largest number when there are more.
-    pub fn of(span: Duration) -> Self {
+    pub fn from_duration(span: Duration) -> Self {
         Millis(u32::try_from(span.as_millis()).unwrap_or(u32::MAX))
     }
 
--- a/crates/sidecar/src/peers/access.rs
+++ b/crates/sidecar/src/peers/access.rs
@@ -236,7 +236,7 @@
         asked_us: question.asked_us,
         configuration: node.known_state().configuration,
         // Rounded up: a proof is never told younger than it is.
-        proof_age: node.access.proof_age(now).map(|age| Millis::of(age + Duration::from_millis(1))),
+        proof_age: node.access.proof_age(now).map(|age| Millis::from_duration(age + Duration::from_millis(1))),
         parts,
     };
     send_to(node, socket, from.ip(), &PeerMessage::Told(told)).await;
--- a/crates/sidecar/src/peers/attestation.rs
+++ b/crates/sidecar/src/peers/attestation.rs
@@ -58,7 +58,7 @@
                 break;
             }
             log::info!("event=instance_attested instance={} valid_ms={}", instance.name, VALID_FOR.as_millis());
-            take(&node, vec![Attestation { instance, valid_for: Millis::of(VALID_FOR) }]);
+            take(&node, vec![Attestation { instance, valid_for: Millis::from_duration(VALID_FOR) }]);
             tokio::time::sleep(INTERVAL).await;
         }
     }
--- a/crates/sidecar/src/peers/mod.rs
+++ b/crates/sidecar/src/peers/mod.rs
@@ -89,7 +89,7 @@
 
 fn latest_reading(node: &Node) -> Option<AnnouncedReading> {
     let latest = node.freshness.borrow().told(node.stop.is_stopping())?;
-    Some(AnnouncedReading { reader: latest.reader, age: Millis::of(clock::now().since(latest.at)) })
+    Some(AnnouncedReading { reader: latest.reader, age: Millis::from_duration(clock::now().since(latest.at)) })
 }
 
 /// Rank of this node among the machines of its zone; alike on all nodes that know the same
@@ -202,7 +202,7 @@
     }
     if let Some(copy) = directory {
         let now = clock::now();
-        node.update_directory(&from, |known| known.apply_copy(&copy, now));
+        node.update_directory(&from, |known| known.apply_update(&copy, now));
     }
     if let Some(reading) = reading {
         node.freshness.borrow_mut().on_read_elsewhere(reading.to_reading());
@@ -215,7 +215,7 @@
     let cluster = node.cluster.borrow();
     let newer = cluster.configuration.as_ref().filter(|own| own.version > other.configuration);
     let is_behind = cluster.directory.revision() > other.directory;
-    let directory = is_behind.then(|| cluster.directory.copy_since(other.directory, clock::now()));
+    let directory = is_behind.then(|| cluster.directory.update_since(other.directory, clock::now()));
     GateMessage::ClusterUpdate {
         configuration: newer.map(|own| own.as_ref().clone()),
         directory,
--- a/crates/sidecar/tests/decisions/directory.rs
+++ b/crates/sidecar/tests/decisions/directory.rs
@@ -140,9 +140,9 @@
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(5), at(0));
     let mut other = Directory::new(POLICY);
-    assert!(other.apply_copy(&directory.copy_since(other.revision(), at(0)), at(0)));
+    assert!(other.apply_update(&directory.update_since(other.revision(), at(0)), at(0)));
     assert_eq!((ready(&other), other.revision()), (vec!["a".to_string()], Revision::of(5)));
-    assert!(!other.apply_copy(&directory.copy_since(other.revision(), at(0)), at(1)), "nothing newer");
+    assert!(!other.apply_update(&directory.update_since(other.revision(), at(0)), at(1)), "nothing newer");
 }
 
 #[rstest]
@@ -151,16 +151,16 @@
     let three = ["a", "b", "c"].map(|name| listed(name, InstanceState::Ready, 1));
     directory.apply_snapshot(&three, Revision::of(3), at(0));
     let mut other = Directory::new(POLICY);
-    other.apply_copy(&directory.copy_since(Revision::default(), at(0)), at(0));
+    other.apply_update(&directory.update_since(Revision::default(), at(0)), at(0));
     directory.apply_change(
         &Change::InstanceRemoved { name: InstanceName::new("b"), revision: Revision::of(4) },
         at(10),
     );
     directory.apply_change(&Change::Instance(listed("d", InstanceState::Ready, 5)), at(10));
     directory.advance(Revision::of(5));
-    let changes = directory.copy_since(Revision::of(3), at(0));
+    let changes = directory.update_since(Revision::of(3), at(0));
     assert_eq!((changes.base, changes.entries.len(), changes.gone.len()), (Some(Revision::of(3)), 1, 1));
-    assert!(other.apply_copy(&changes, at(20)));
+    assert!(other.apply_update(&changes, at(20)));
     assert_eq!((ready(&other), other.revision()), (ready(&directory), Revision::of(5)));
 }
 
@@ -173,9 +173,9 @@
         at(10),
     );
     directory.advance(Revision::of(2));
-    assert_eq!(directory.copy_since(Revision::of(1), at(0)).base, Some(Revision::of(1)));
+    assert_eq!(directory.update_since(Revision::of(1), at(0)).base, Some(Revision::of(1)));
     directory.expire(at(120_000));
-    assert_eq!(directory.copy_since(Revision::of(1), at(0)).base, None);
+    assert_eq!(directory.update_since(Revision::of(1), at(0)).base, None);
 }
 
 #[rstest]
@@ -183,11 +183,11 @@
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
     let mut other = Directory::new(POLICY);
-    other.apply_copy(&directory.copy_since(Revision::default(), at(0)), at(0));
+    other.apply_update(&directory.update_since(Revision::default(), at(0)), at(0));
     directory.note_source_away();
     directory.note_source_answered(at(100));
     directory.apply_snapshot(&[], Revision::of(2), at(200));
-    other.apply_copy(&directory.copy_since(Revision::of(1), at(900)), at(900));
+    other.apply_update(&directory.update_since(Revision::of(1), at(900)), at(900));
     assert_eq!(ready(&other), ["a"]);
     assert!(!directory.expire(at(2_000)) && !other.expire(at(2_000)));
     assert!(directory.expire(at(2_100)) && other.expire(at(2_100)), "all nodes end the hold together");
@@ -244,7 +244,7 @@
     let other = Change::Instance(listed("b", InstanceState::Ready, 3));
     peer.apply_change(&other, at(120));
     peer.advance(Revision::of(3));
-    gate.apply_copy(&peer.copy_since(gate.revision(), at(130)), at(130));
+    gate.apply_update(&peer.update_since(gate.revision(), at(130)), at(130));
     assert_eq!(ready(&gate), ["b"]);
     let again = Change::Instance(listed("a", InstanceState::Ready, 4));
     gate.apply_change(&again, at(200));
@@ -428,7 +428,7 @@
             }
             reader.advance(Revision::of(model.revision));
             if fetches[index] {
-                follower.apply_copy(&reader.copy_since(follower.revision(), now), now);
+                follower.apply_update(&reader.update_since(follower.revision(), now), now);
                 prop_assert_eq!(sorted(ready(&follower)), sorted(ready(&reader)));
             }
         }
@@ -474,12 +474,12 @@
             }
             reader.advance(Revision::of(model.revision));
             if fetches[index] {
-                follower.apply_copy(&reader.copy_since(follower.revision(), now), now);
+                follower.apply_update(&reader.update_since(follower.revision(), now), now);
             }
         }
         let later = at(now.since_start().as_millis() as u64 + 1_000);
         reader.expire(later);
-        follower.apply_copy(&reader.copy_since(follower.revision(), later), later);
+        follower.apply_update(&reader.update_since(follower.revision(), later), later);
         follower.expire(at(later.since_start().as_millis() as u64 + 1_000));
         prop_assert_eq!(sorted(ready(&reader)), sorted(model.ready()));
         prop_assert_eq!(sorted(ready(&follower)), sorted(model.ready()));
--- a/crates/sidecar/tests/decisions/epochs.rs
+++ b/crates/sidecar/tests/decisions/epochs.rs
@@ -154,15 +154,15 @@
 fn a_copy_of_a_later_epoch_adds_to_what_a_node_knows_alone() {
     let mut reader = with_a_and_b();
     let mut other = Directory::new(POLICY);
-    other.apply_copy(&reader.copy_since(Revision::default(), at(0)), at(0));
+    other.apply_update(&reader.update_since(Revision::default(), at(0)), at(0));
     other.apply_change(&Change::Instance(ready_entry("c", revision(0, 21))), at(10));
     other.apply_change(&Change::Instance(leaving_entry("b", revision(0, 22))), at(10));
     other.advance(revision(0, 22));
     let both = [ready_entry("a", revision(1, 1)), ready_entry("b", revision(1, 2))];
     reader.apply_snapshot(&both, revision(1, 3), at(100));
-    let copy = reader.copy_since(other.revision(), at(100));
+    let copy = reader.update_since(other.revision(), at(100));
     assert_eq!(copy.base, None, "nothing of an earlier epoch is a base");
-    assert!(other.apply_copy(&copy, at(100)));
+    assert!(other.apply_update(&copy, at(100)));
     assert_eq!((ready(&other), other.revision()), (vec!["a".to_string(), "c".to_string()], revision(1, 3)));
     assert_eq!(other.status(&name("b")), InstanceStatus::Draining);
     assert!(other.expire(at(2_100)), "c was not written again");
@@ -173,7 +173,7 @@
 fn a_copy_of_a_later_epoch_tells_what_has_gone_and_what_is_doubted() {
     let mut other = with_a_and_b();
     let reader = with_b_gone_and_listed_by_the_copy();
-    other.apply_copy(&reader.copy_since(other.revision(), at(1_000)), at(1_000));
+    other.apply_update(&reader.update_since(other.revision(), at(1_000)), at(1_000));
     assert_eq!(ready(&other), ["a"]);
     assert!(!other.expire(at(5_900)));
     assert!(other.expire(at(6_000)));
@@ -306,7 +306,7 @@
                     let known: Vec<InstanceName> = (0..4).map(|who| name(&format!("i-{who}"))).collect();
                     let left: Vec<&InstanceName> =
                         known.iter().filter(|who| follower.status(who) == InstanceStatus::Draining).collect();
-                    follower.apply_copy(&reader.copy_since(follower.revision(), now), now);
+                    follower.apply_update(&reader.update_since(follower.revision(), now), now);
                     for who in left {
                         prop_assert_ne!(follower.status(who), InstanceStatus::Ready);
                     }
@@ -322,7 +322,7 @@
             now = now + Duration::from_secs(6);
             reader.apply_snapshot(&model.listed(), revision(model.epoch, model.number), now);
             reader.expire(now);
-            follower.apply_copy(&reader.copy_since(follower.revision(), now), now);
+            follower.apply_update(&reader.update_since(follower.revision(), now), now);
             follower.expire(now);
             model.number += 1;
         }
