--- a/crates/overload/src/queue/mod.rs
+++ b/crates/overload/src/queue/mod.rs
@@ -9,8 +9,8 @@
 //! objective or the deadline allows. An instance that declares a rate gets no more than that
 //! ([`Pacer`]), however many slots are free. Use one queue per instance, held by its gate.
 
+mod displacement;
 mod load;
-mod room;
 mod share;
 mod wait;
 
