--- a/crates/overload/src/admission/demand_levels.rs
+++ b/crates/overload/src/admission/demand_levels.rs
@@ -1,11 +1,10 @@
-//! Levels from measured demand and capacity.
+//! Admission levels from measured demand and capacity.
 //!
-//! A gate knows the slot time that each arrival asks for and, with the part of its class that
-//! its root edge let begin, how much was wanted before that: an arrival let in at one half
-//! stands for two. What is wanted, over what the slots can give, is the level, without search:
-//! it falls within the time of one average when demand rises or slots are lost, and is back as
-//! soon when they return. Slots are given to classes in the order of their importance; a share
-//! is kept for those at the end.
+//! A gate knows the slot time that each arrival asks for and the fraction of its class that the root edge
+//! admitted, and so the demand before admission control: an arrival admitted at a level of one half stands
+//! for two. The level is capacity over demand, without a search: it falls within one time constant of the
+//! average when demand rises or slots are lost, and recovers as fast when they return. Slots are assigned to
+//! classes in order of importance; a minimum share is reserved for the less important ones.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,79 +13,79 @@
 
 use super::ClassKey;
 
-/// Time constant of the averages: long against the time between calls, short against the time
+/// Time constant of the averages: long compared with the time between calls, short compared with the time
 /// within which a level has to follow.
-const MEMORY: Duration = Duration::from_millis(400);
-/// Lowest level: some requests always go through, to see what is wanted.
-const LOWEST: f64 = 0.03;
-/// Largest level told: room for twice as much is room enough.
-const LARGEST: f64 = 2.0;
-/// Least part of a class that an arrival is taken to stand for, so that one stray request does
-/// not count as hundreds.
-const LEAST_ADMITTED: f64 = 0.03;
-/// Demand below this part of the slots is no overload, whatever the class: averages of few
-/// arrivals are rough.
-const MINOR_PART: f64 = 0.02;
+const TIME_CONSTANT: Duration = Duration::from_millis(400);
+/// Lowest level: some requests always go through, so that demand can still be measured.
+const MIN_LEVEL: f64 = 0.03;
+/// Highest level reported; headroom for twice the demand is enough.
+const MAX_LEVEL: f64 = 2.0;
+/// Smallest admitted fraction that an arrival is scaled by, so that one stray request does not count as
+/// hundreds.
+const MIN_ADMITTED: f64 = 0.03;
+/// Demand below this fraction of the slots is never overload, whatever the class, because averages of few
+/// arrivals are imprecise.
+const MINOR_DEMAND: f64 = 0.02;
 
-/// Decaying sum of slot time.
+/// Exponentially decaying sum of requested slot time.
 #[derive(Debug, Clone, Copy)]
 struct Demand {
     slot_seconds: f64,
-    at: Moment,
+    updated_at: Moment,
 }
 
 impl Demand {
-    /// Slots that it would keep busy.
+    /// Average number of slots that the demand would keep busy.
     fn slots(&self, now: Moment) -> f64 {
-        self.decayed(now) / MEMORY.as_secs_f64()
+        self.decayed(now) / TIME_CONSTANT.as_secs_f64()
     }
 
     fn decayed(&self, now: Moment) -> f64 {
-        self.slot_seconds * (-now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64()).exp()
+        self.slot_seconds * (-now.since(self.updated_at).as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
 
-/// Levels of one instance's gate, by class.
+/// Levels at the gate of one instance, by class.
 #[derive(Debug)]
 pub struct DemandLevels {
-    least_share: f64,
+    min_share: f64,
     classes: HashMap<ClassKey, Demand>,
 }
 
 impl DemandLevels {
-    /// Levels that keep `least_share` of the slots, from 0 to 1, for less important classes.
-    pub fn new(least_share: f64) -> Self {
-        DemandLevels { least_share: least_share.clamp(0.0, 1.0), classes: HashMap::new() }
+    /// Levels that reserve `min_share` of the slots, from 0 to 1, for less important classes.
+    pub fn new(min_share: f64) -> Self {
+        DemandLevels { min_share: min_share.clamp(0.0, 1.0), classes: HashMap::new() }
     }
 
-    /// Notes an arrival, refused or not, that asks for `slot_time` and whose root began with the
-    /// part `admitted` of its class.
+    /// Records an arrival, refused or not, that asks for `slot_time` and whose root was admitted while the
+    /// fraction `admitted` of its class was.
     pub fn record(&mut self, class: &ClassKey, slot_time: Duration, admitted: f64, now: Moment) {
-        let wanted = slot_time.as_secs_f64() / admitted.clamp(LEAST_ADMITTED, 1.0);
+        let demanded = slot_time.as_secs_f64() / admitted.clamp(MIN_ADMITTED, 1.0);
         match self.classes.get_mut(class) {
-            Some(demand) => *demand = Demand { slot_seconds: demand.decayed(now) + wanted, at: now },
+            Some(demand) => *demand = Demand { slot_seconds: demand.decayed(now) + demanded, updated_at: now },
             None => {
-                self.classes.insert(class.clone(), Demand { slot_seconds: wanted, at: now });
+                self.classes.insert(class.clone(), Demand { slot_seconds: demanded, updated_at: now });
             }
         }
     }
 
-    /// Part of a class's requests that may begin when `slots` can be busy at a time; above 1
-    /// where there is room for more.
+    /// Fraction of a class's requests that may start when `slots` can be kept busy; above 1 if there is
+    /// capacity for more than the demand.
     pub fn level(&self, class: &ClassKey, slots: f64, now: Moment) -> f64 {
-        let wanted = |choose: &dyn Fn(Importance) -> bool| -> f64 {
+        let demand_where = |choose: &dyn Fn(Importance) -> bool| -> f64 {
             let chosen = self.classes.iter().filter(|(key, _)| choose(key.importance));
             chosen.map(|(_, demand)| demand.slots(now)).sum()
         };
-        let own = wanted(&|importance| importance == class.importance);
-        if own <= slots * MINOR_PART {
-            return LARGEST;
+        let own = demand_where(&|importance| importance == class.importance);
+        if own <= slots * MINOR_DEMAND {
+            return MAX_LEVEL;
         }
-        let above = wanted(&|importance| importance > class.importance);
-        let below = wanted(&|importance| importance < class.importance);
-        let kept = slots * self.least_share;
-        let left = (slots - above).max(kept.min(slots));
-        let left = left.min(slots - kept.min(below));
-        (left / own).clamp(LOWEST, LARGEST)
+        let above = demand_where(&|importance| importance > class.importance);
+        let below = demand_where(&|importance| importance < class.importance);
+        let reserved = slots * self.min_share;
+        let available = (slots - above).max(reserved.min(slots));
+        let available = available.min(slots - reserved.min(below));
+        (available / own).clamp(MIN_LEVEL, MAX_LEVEL)
     }
 }
--- a/crates/overload/src/declared_rate.rs
+++ b/crates/overload/src/declared_rate.rs
@@ -1,27 +1,27 @@
-//! The rate that an instance declares: how many requests a second it takes from all callers together.
+//! The rate limit that an instance declares: requests per second that it accepts from all callers together.
 
 use std::fmt;
 use std::str::FromStr;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Requests a second that an instance takes; finite and not below 0.
+/// Requests per second that an instance accepts; finite and not negative.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, BorshSerialize, BorshDeserialize)]
 pub struct DeclaredRate(f64);
 
-/// Why a text declares no rate.
+/// Why a text is not a valid rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RateError {
-    /// It is no decimal number.
+    /// Not a decimal number.
     NotANumber,
-    /// It is below 0.
+    /// Below 0.
     Negative,
-    /// It is larger than any number.
+    /// Too large for a finite `f64`.
     Infinite,
 }
 
 impl RateError {
-    /// Text of log lines.
+    /// The text used in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             RateError::NotANumber => "not-a-number",
@@ -40,7 +40,7 @@
 impl std::error::Error for RateError {}
 
 impl DeclaredRate {
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
--- a/crates/overload/src/lib.rs
+++ b/crates/overload/src/lib.rs
@@ -1,14 +1,14 @@
-//! Overload control cores. None of them reads a clock or performs I/O.
+//! Overload control algorithms. None of them reads a clock or performs I/O.
 //!
-//! - [`queue`]: the exact priority queue of one back-end instance, with weighted
-//!   sharing between groups and refusal by predicted wait.
+//! - [`queue`]: the priority queue of one back-end instance, with weighted fair sharing between groups and
+//!   refusal by predicted wait.
 //! - [`limit`]: the adaptive concurrency limit of one instance.
 //! - [`admission`]: admission levels, measured at gates and applied at the root.
-//! - [`declared_rate`]: the rate that an instance says it takes.
-//! - [`expected_times`]: how long requests are expected to take.
-//! - [`pressure`]: whether the process itself keeps up.
-//! - [`pacer`]: paces what is sent to an instance by the rate that it declares.
-//! - [`retry_after`]: when a refused caller should come back.
+//! - [`declared_rate`]: the rate limit that an instance declares.
+//! - [`expected_times`]: expected service times of requests.
+//! - [`pressure`]: whether the process itself keeps up with its load.
+//! - [`pacer`]: the token bucket that enforces a declared rate.
+//! - [`retry_after`]: how long a refused caller should wait before it retries.
 
 pub mod admission;
 pub mod declared_rate;
--- a/crates/overload/src/retry_after.rs
+++ b/crates/overload/src/retry_after.rs
@@ -1,33 +1,32 @@
-//! When a refused caller should come back.
+//! How long a refused caller should wait before it retries.
 
 use std::time::Duration;
 
-/// Shortest time named.
-const SHORTEST: Duration = Duration::from_millis(200);
-/// Longest time named.
-const LONGEST: Duration = Duration::from_secs(10);
+/// Shortest retry delay.
+const MIN_DELAY: Duration = Duration::from_millis(200);
+/// Longest retry delay.
+const MAX_DELAY: Duration = Duration::from_secs(10);
 
-/// Shortest time named while levels hold requests back: they need about this long to follow a
-/// change, so who comes back sooner meets the same overload.
-const SHORTEST_OF_LEVELS: Duration = Duration::from_millis(1_500);
+/// Shortest base delay while admission levels hold requests back. Levels need about this long to follow a
+/// change, so a caller that retries sooner meets the same overload.
+const MIN_LEVEL_DELAY: Duration = Duration::from_millis(1_500);
 
-/// The time to name to a request that its class's level held back: at most `level` of its kind
-/// are let begin. `jitter` in `[0, 1)` spreads those who come back.
+/// Retry delay of a request refused by its class's admission level, where `level` is the fraction of the
+/// class that is admitted. `jitter` in `[0, 1)` spreads the retries.
 pub fn retry_after_level(level: f64, jitter: f64) -> Duration {
-    let base = SHORTEST_OF_LEVELS.as_secs_f64() / level.clamp(0.02, 1.0);
-    Duration::from_secs_f64(base * (0.5 + jitter)).min(LONGEST)
+    let base = MIN_LEVEL_DELAY.as_secs_f64() / level.clamp(0.02, 1.0);
+    Duration::from_secs_f64(base * (0.5 + jitter)).min(MAX_DELAY)
 }
 
-/// The time to name when there is room for the request after `wait`; `jitter` as above.
+/// Retry delay of a request for which capacity is available after `wait`; `jitter` as above.
 pub fn retry_after_wait(wait: Duration, jitter: f64) -> Duration {
-    wait.mul_f64(0.5 + jitter).clamp(SHORTEST, LONGEST)
+    wait.mul_f64(0.5 + jitter).clamp(MIN_DELAY, MAX_DELAY)
 }
 
-/// The time to name when `admitted_fraction` of the class is let through: longer
-/// when the overload is deeper, spread by `jitter` in `[0, 1)` over half to one and
-/// a half times the base.
+/// Retry delay while `admitted_fraction` of the class is let through: the deeper the overload, the longer.
+/// `jitter` in `[0, 1)` spreads the delay from half to one and a half times the base.
 pub fn retry_after(admitted_fraction: f64, jitter: f64) -> Duration {
     let fraction = admitted_fraction.clamp(0.02, 1.0);
-    let base = SHORTEST.as_secs_f64() / fraction;
-    Duration::from_secs_f64(base * (0.5 + jitter)).clamp(SHORTEST / 2, LONGEST)
+    let base = MIN_DELAY.as_secs_f64() / fraction;
+    Duration::from_secs_f64(base * (0.5 + jitter)).clamp(MIN_DELAY / 2, MAX_DELAY)
 }
--- a/crates/overload/tests/demand.rs
+++ b/crates/overload/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Admission levels from measured demand, and slots kept for lower classes.
+//! Admission levels from measured demand, and slots reserved for lower classes.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Part of the slots kept for less important classes.
-const LEAST_SHARE: f64 = 0.2;
-/// Time of one arrival in its slot.
+/// Fraction of the slots reserved for less important classes.
+const MIN_SHARE: f64 = 0.2;
+/// Slot time of one arrival.
 const SLOT_TIME: Duration = Duration::from_millis(20);
 
 fn at(millis: u64) -> Moment {
@@ -23,37 +23,37 @@
     ClassKey { root_kind: KindName::new(name), group: GroupName::new("all"), importance: Importance(importance) }
 }
 
-/// One class, of which `wanted` slots' worth of requests would begin if all were let.
+/// A class whose requests would occupy `demand` slots if all were admitted.
 struct Offered {
     class: ClassKey,
-    wanted: f64,
+    demand: f64,
 }
 
-/// Offers the classes from `from_ms` for `millis`, each thinned by its level as of 200 ms before,
-/// and returns the levels at the end.
+/// Offers the classes for `millis` from `from_ms` on, each reduced to its level of 200 ms ago, and returns
+/// the levels at the end.
 fn simulate(levels: &mut DemandLevels, offered: &[Offered], slots: f64, from_ms: u64, millis: u64) -> Vec<f64> {
-    let mut told: Vec<Vec<f64>> = vec![vec![1.0; 20]; offered.len()];
-    let mut owed = vec![0.0; offered.len()];
+    let mut levels_over_time: Vec<Vec<f64>> = vec![vec![1.0; 20]; offered.len()];
+    let mut pending = vec![0.0; offered.len()];
     for now in (from_ms..from_ms + millis).step_by(10) {
         for (index, one) in offered.iter().enumerate() {
-            let admitted = told[index][told[index].len() - 20].min(1.0);
-            owed[index] += one.wanted * admitted * 0.01 / SLOT_TIME.as_secs_f64();
-            while owed[index] >= 1.0 {
-                owed[index] -= 1.0;
+            let admitted = levels_over_time[index][levels_over_time[index].len() - 20].min(1.0);
+            pending[index] += one.demand * admitted * 0.01 / SLOT_TIME.as_secs_f64();
+            while pending[index] >= 1.0 {
+                pending[index] -= 1.0;
                 levels.record(&one.class, SLOT_TIME, admitted, at(now));
             }
-            told[index].push(levels.level(&one.class, slots, at(now)));
+            levels_over_time[index].push(levels.level(&one.class, slots, at(now)));
         }
     }
-    told.iter().filter_map(|levels| levels.last().copied()).collect()
+    levels_over_time.iter().filter_map(|levels| levels.last().copied()).collect()
 }
 
 #[rstest]
-fn the_level_falls_to_what_fits_and_is_back_within_a_second_of_the_capacity() {
-    let offered = [Offered { class: class("r", 1), wanted: 40.0 }];
-    let mut levels = DemandLevels::new(LEAST_SHARE);
-    let short = simulate(&mut levels, &offered, 16.0, 1_000, 1_500)[0];
-    assert!((0.35..0.46).contains(&short), "{short}");
+fn the_level_falls_to_what_fits_and_recovers_within_a_second_of_the_capacity() {
+    let offered = [Offered { class: class("r", 1), demand: 40.0 }];
+    let mut levels = DemandLevels::new(MIN_SHARE);
+    let reduced = simulate(&mut levels, &offered, 16.0, 1_000, 1_500)[0];
+    assert!((0.35..0.46).contains(&reduced), "{reduced}");
     let later = simulate(&mut levels, &offered, 16.0, 2_500, 5_000)[0];
     assert!((0.36..0.45).contains(&later), "{later}");
     let back = simulate(&mut levels, &offered, 60.0, 7_500, 1_000)[0];
@@ -61,9 +61,9 @@
 }
 
 #[rstest]
-fn demand_that_fits_holds_nothing_back() {
-    let offered = [Offered { class: class("r", 1), wanted: 14.0 }];
-    let mut levels = DemandLevels::new(LEAST_SHARE);
+fn demand_that_fits_is_fully_admitted() {
+    let offered = [Offered { class: class("r", 1), demand: 14.0 }];
+    let mut levels = DemandLevels::new(MIN_SHARE);
     assert!(simulate(&mut levels, &offered, 16.0, 0, 5_000)[0] >= 1.0);
     assert!(levels.level(&class("never seen", 1), 16.0, at(5_000)) >= 1.0);
 }
@@ -71,19 +71,19 @@
 #[rstest]
 fn the_protected_importance_is_shed_last_and_the_others_keep_their_share() {
     let offered = [
-        Offered { class: class("protected", Importance::PROTECTED.0), wanted: 12.0 },
-        Offered { class: class("other", 1), wanted: 20.0 },
+        Offered { class: class("protected", Importance::PROTECTED.0), demand: 12.0 },
+        Offered { class: class("other", 1), demand: 20.0 },
     ];
-    let mut levels = DemandLevels::new(LEAST_SHARE);
+    let mut levels = DemandLevels::new(MIN_SHARE);
     let fits = simulate(&mut levels, &offered, 18.0, 0, 5_000);
     assert!(fits[0] >= 1.0 && (0.2..0.45).contains(&fits[1]), "{fits:?}");
-    let mut levels = DemandLevels::new(LEAST_SHARE);
-    let short = simulate(&mut levels, &offered, 10.0, 0, 5_000);
-    assert!(short[0] > 2.0 * short[1] && short[1] >= 0.08, "{short:?}");
+    let mut levels = DemandLevels::new(MIN_SHARE);
+    let reduced = simulate(&mut levels, &offered, 10.0, 0, 5_000);
+    assert!(reduced[0] > 2.0 * reduced[1] && reduced[1] >= 0.08, "{reduced:?}");
 }
 
 #[rstest]
-fn a_report_that_is_old_holds_nothing_back() {
+fn an_old_report_no_longer_limits_admission() {
     let mut table = LevelTable::with_hold(Duration::from_millis(500));
     table.on_report(&class("r", 1), &ServiceName::new("deep"), 1, 0.4, at(0));
     assert!(table.level(&class("r", 1), 0, at(400)) < 0.5);
@@ -92,7 +92,7 @@
 }
 
 #[rstest]
-fn room_at_one_gate_makes_up_for_want_of_it_at_another() {
+fn headroom_of_one_gate_compensates_for_lack_of_it_at_another() {
     let mut table = LevelTable::with_hold(Duration::from_millis(500));
     for step in 0..40 {
         let level = if step % 2 == 0 { 0.8 } else { 1.4 };
@@ -104,30 +104,30 @@
 }
 
 proptest! {
-    /// Whatever is offered: no more is let begin than the slots can serve, beyond what is kept
-    /// for a class and what a lowest level lets through; and what fits is let begin.
+    /// Whatever is offered, no more is admitted than the slots can serve, except for the shares reserved for
+    /// classes and what the lowest level lets through; and demand that fits is fully admitted.
     #[test]
     fn admitted_demand_fits_the_slots(
         slots in 4.0..200.0_f64,
-        wanted in proptest::collection::vec((0_u8..4, 0.1..3.0_f64), 1..5),
+        demands in proptest::collection::vec((0_u8..4, 0.1..3.0_f64), 1..5),
     ) {
-        let offered: Vec<Offered> = wanted.iter().enumerate().map(|(index, (importance, part))| {
-            Offered { class: class(&format!("c{index}"), *importance), wanted: part * slots }
+        let offered: Vec<Offered> = demands.iter().enumerate().map(|(index, (importance, part))| {
+            Offered { class: class(&format!("c{index}"), *importance), demand: part * slots }
         }).collect();
-        let mut levels = DemandLevels::new(LEAST_SHARE);
+        let mut levels = DemandLevels::new(MIN_SHARE);
         let levels = simulate(&mut levels, &offered, slots, 0, 6_000);
-        let admitted: f64 = levels.iter().zip(&offered).map(|(level, one)| level.min(1.0) * one.wanted).sum();
-        let classes: std::collections::BTreeSet<u8> = wanted.iter().map(|(importance, _)| *importance).collect();
-        let kept_beyond = (classes.len() as f64 - 1.0).max(0.0) * LEAST_SHARE;
-        prop_assert!(admitted <= slots * (1.15 + kept_beyond) + 2.0, "{admitted} of {slots}: {levels:?}");
-        let total: f64 = offered.iter().map(|one| one.wanted).sum();
+        let admitted: f64 = levels.iter().zip(&offered).map(|(level, one)| level.min(1.0) * one.demand).sum();
+        let classes: std::collections::BTreeSet<u8> = demands.iter().map(|(importance, _)| *importance).collect();
+        let reserved = (classes.len() as f64 - 1.0).max(0.0) * MIN_SHARE;
+        prop_assert!(admitted <= slots * (1.15 + reserved) + 2.0, "{admitted} of {slots}: {levels:?}");
+        let total: f64 = offered.iter().map(|one| one.demand).sum();
         if total < slots * 0.85 {
             prop_assert!(levels.iter().all(|level| *level >= 1.0), "{levels:?}");
         }
     }
 }
 
-fn demand(importance: u8) -> SlotRequest {
+fn request(importance: u8) -> SlotRequest {
     SlotRequest {
         importance: Importance(importance),
         group: GroupName::new("all"),
@@ -140,7 +140,7 @@
     }
 }
 
-/// Serves two classes that always wait, and returns how many of each were served.
+/// Serves two classes that always have requests waiting, and returns how many of each were served.
 fn serve(share: f64) -> (usize, usize) {
     let settings = QueueSettings { max_wait: Duration::from_secs(60), waiting_per_slot: 40 };
     let mut queue = InstanceQueue::new(settings, AdaptiveLimit::new(10, false)).with_min_share(share);
@@ -149,7 +149,7 @@
     let mut running = Vec::new();
     for number in 0..200_u8 {
         let importance = if number % 2 == 0 { 2 } else { 1 };
-        match queue.submit(demand(importance), at(0)) {
+        match queue.submit(request(importance), at(0)) {
             Admission::Dispatch(ticket) => running.push(ticket),
             Admission::Wait { ticket, .. } if importance == 2 => important.push(ticket),
             _ => {}
@@ -171,7 +171,7 @@
 }
 
 #[rstest]
-fn a_lower_class_gets_the_slots_that_are_kept_for_it() {
+fn a_lower_class_gets_the_slots_that_are_reserved_for_it() {
     assert_eq!(serve(0.0).1, 0);
     let (high, low) = serve(0.2);
     assert!(low >= 8 && high > 3 * low, "{high} and {low}");
--- a/crates/overload/tests/fuzz.rs
+++ b/crates/overload/tests/fuzz.rs
@@ -1,6 +1,6 @@
-//! Stateful fuzzing of the queue against a simple oracle: a list of what waits and
-//! what holds a slot. No ticket is lost or served twice, slots are never exceeded,
-//! nothing waits beside a free slot, and nobody of a lower class is served first.
+//! Stateful fuzzing of the queue against a simple oracle: a list of the tickets that wait and of those that
+//! hold a slot. No ticket is lost or served twice, the slots are never exceeded, no ticket waits while a slot
+//! is free, and no lower class is served before a higher one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -68,9 +68,9 @@
         }
     }
 
-    fn arrive(&mut self, demand: SlotRequest) {
-        let class = (demand.importance, demand.hop > 0, demand.group.clone());
-        match self.queue.submit(demand, self.now) {
+    fn arrive(&mut self, request: SlotRequest) {
+        let class = (request.importance, request.hop > 0, request.group.clone());
+        match self.queue.submit(request, self.now) {
             Admission::Dispatch(ticket) => self.running.push(ticket),
             Admission::Wait { ticket, displaced } => {
                 if let Some(displaced) = displaced {
@@ -147,7 +147,7 @@
         assert!((1..=SLOTS).contains(&limit));
     }
 
-    /// When everything has ended, nothing is left waiting.
+    /// Once all running tickets have ended, none is left waiting.
     fn teardown(mut system: System, (): ()) {
         while let Some(ticket) = system.running.pop() {
             system.queue.finish(ticket, system.now);
--- a/crates/overload/tests/levels.rs
+++ b/crates/overload/tests/levels.rs
@@ -1,4 +1,4 @@
-//! Admission levels: measured at gates, learnt and applied at the root.
+//! Admission levels: measured at gates, reported with replies and applied at the root.
 
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_gate_passes_on_only_what_lies_deeper_than_its_own_call() {
+fn a_gate_passes_on_only_levels_of_calls_deeper_than_its_own() {
     let mut table = LevelTable::default();
     table.on_report(&class(), &ServiceName::new("catalogue"), 0, 0.3, at(0));
     assert!(table.level(&class(), 0, at(0)) < 1.0);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_level_that_nobody_confirms_rises() {
+fn an_unconfirmed_level_rises() {
     let mut table = LevelTable::default();
     table.on_report(&class(), &ServiceName::new("catalogue"), 0, 0.1, at(0));
     assert!(table.level(&class(), 0, at(50)) < 0.2);
@@ -76,21 +76,21 @@
 }
 
 #[test]
-fn what_a_level_held_back_is_told_to_come_back_when_levels_can_have_followed() {
+fn the_retry_delay_after_a_refusal_by_level_gives_levels_time_to_adapt() {
     use olivegate_overload::retry_after::{retry_after, retry_after_level};
     for level in [1.0, 0.5, 0.1] {
         for jitter in [0.0, 0.5, 0.99] {
-            let told = retry_after_level(level, jitter);
-            assert!(told >= Duration::from_millis(750) && told <= Duration::from_secs(10), "{told:?}");
-            assert!(told >= retry_after(level, jitter).min(Duration::from_secs(10)));
+            let delay = retry_after_level(level, jitter);
+            assert!(delay >= Duration::from_millis(750) && delay <= Duration::from_secs(10), "{delay:?}");
+            assert!(delay >= retry_after(level, jitter).min(Duration::from_secs(10)));
         }
     }
     assert!(retry_after_level(0.2, 0.5) > retry_after_level(0.8, 0.5));
 }
 
-/// What is told of a level that holds requests back: who reported it, how low, and how long ago.
+/// The entry of a level that limits a class says which service reported it, how low it was and how long ago.
 #[test]
-fn the_report_that_binds_a_class_is_told() {
+fn the_report_that_binds_a_class_is_listed() {
     let mut table = LevelTable::with_hold(Duration::from_millis(100));
     table.on_report(&class(), &ServiceName::new("catalogue"), 0, 0.9, at(0));
     table.on_report(&class(), &ServiceName::new("stockroom"), 1, 0.2, at(0));
--- a/crates/overload/tests/pacer.rs
+++ b/crates/overload/tests/pacer.rs
@@ -1,4 +1,4 @@
-//! The pace of an instance, by example and against the count of what was let through.
+//! The token bucket of an instance: examples, and a property over the requests that it lets through.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Length of the windows over which a declared rate is judged.
+/// Length of the windows over which the declared rate is checked.
 const WINDOW: Duration = Duration::from_secs(4);
 
 fn rate(per_second: f64) -> DeclaredRate {
@@ -25,7 +25,7 @@
 #[case(" 2.8 ", Some(2.8))]
 #[case("0", Some(0.0))]
 #[case("-0", Some(0.0))]
-fn a_rate_is_read(#[case] text: &str, #[case] per_second: Option<f64>) {
+fn a_rate_is_parsed(#[case] text: &str, #[case] per_second: Option<f64>) {
     assert_eq!(text.parse().ok().map(DeclaredRate::per_second), per_second);
 }
 
@@ -35,19 +35,19 @@
 #[case("1e400", RateError::Infinite)]
 #[case("", RateError::NotANumber)]
 #[case("1, 2", RateError::NotANumber)]
-fn what_is_no_rate_says_why(#[case] text: &str, #[case] error: RateError) {
+fn invalid_rates_are_rejected_with_the_reason(#[case] text: &str, #[case] error: RateError) {
     assert_eq!(text.parse::<DeclaredRate>(), Err(error));
 }
 
 #[test]
-fn nothing_is_held_back_until_a_rate_is_declared() {
+fn nothing_is_limited_until_a_rate_is_declared() {
     let mut pacer = Pacer::default();
     assert!((0..1_000).all(|_| pacer.take(at(0))));
     assert_eq!(pacer.wait_behind(1_000, at(0)), Duration::ZERO);
 }
 
 #[test]
-fn those_who_wait_know_for_how_long() {
+fn the_wait_behind_others_follows_from_the_rate() {
     let mut pacer = Pacer::default();
     pacer.set_rate(Some(rate(2.0)), at(0));
     assert_eq!(pacer.wait_behind(0, at(0)), Duration::from_millis(500));
@@ -55,9 +55,9 @@
     assert!(!pacer.take(at(499)) && pacer.take(at(500)) && !pacer.take(at(501)));
 }
 
-/// A process that stood still lets no more through at once than one that did not.
+/// Guards against a burst after an idle or frozen minute: the bucket holds no more tokens than usual.
 #[test]
-fn a_standstill_saves_nothing_up() {
+fn an_idle_minute_accumulates_no_burst() {
     let mut pacer = Pacer::default();
     pacer.set_rate(Some(rate(8.0)), at(0));
     let let_through = (0..1_000).filter(|_| pacer.take(at(60_000))).count();
@@ -65,19 +65,19 @@
 }
 
 #[test]
-fn those_who_were_turned_away_return_one_after_the_other() {
+fn refused_callers_retry_one_after_the_other() {
     let mut pacer = Pacer::default();
     pacer.set_rate(Some(rate(8.0)), at(0));
-    let returns: Vec<u128> = (0..8).map(|_| pacer.retry_after(at(0)).as_millis()).collect();
-    assert_eq!(returns, [125, 225, 325, 425, 500, 500, 500, 500]);
+    let delays: Vec<u128> = (0..8).map(|_| pacer.retry_after(at(0)).as_millis()).collect();
+    assert_eq!(delays, [125, 225, 325, 425, 500, 500, 500, 500]);
 }
 
 #[test]
-fn a_demand_that_would_wait_too_long_for_the_pace_is_told_when_to_return() {
+fn a_request_that_would_wait_too_long_for_a_token_is_told_when_to_retry() {
     let settings = QueueSettings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
     let mut queue = InstanceQueue::new(settings, AdaptiveLimit::new(10, false));
     queue.pacer_mut().set_rate(Some(rate(2.0)), at(0));
-    let demand = SlotRequest {
+    let request = SlotRequest {
         importance: Importance(1),
         group: GroupName::new("all"),
         weight: 1,
@@ -87,7 +87,7 @@
         expected: Duration::from_millis(20),
         max_wait: Some(Duration::from_millis(400)),
     };
-    let Admission::Refuse(refusal) = queue.submit(demand, at(0)) else { panic!("it waits in vain") };
+    let Admission::Refuse(refusal) = queue.submit(request, at(0)) else { panic!("it was not refused") };
     assert_eq!(refusal.reason, RefusalReason::RateLimited);
     assert!(refusal.retry_after.abs_diff(Duration::from_millis(500)) < Duration::from_millis(1));
 }
@@ -111,9 +111,9 @@
 }
 
 proptest! {
-    /// In no window comes more than half as much again as the largest rate declared in it, and five more.
+    /// No window gets more than one and a half times the largest rate declared in it, plus five requests.
     #[test]
-    fn no_window_gets_more_than_was_declared(steps in steps()) {
+    fn no_window_gets_more_than_the_declared_rate_allows(steps in steps()) {
         let mut pacer = Pacer::default();
         let mut now = at(0);
         let mut largest: Vec<(Moment, f64)> = vec![(now, 40.0)];
--- a/crates/overload/tests/pressure.rs
+++ b/crates/overload/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! A process that falls behind its own work begins less of it.
+//! A process that falls behind its load starts less work.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
     Moment::after_start(Duration::from_millis(millis))
 }
 
-/// Samples every 20 ms from `from` to `to`.
+/// Records `lateness` every 20 ms from `from` to `to`, in milliseconds.
 fn sample(pressure: &mut ProcessPressure, lateness: Duration, from: u64, to: u64) -> Vec<ProcessPace> {
     (from..to).step_by(20).filter_map(|millis| pressure.on_lateness(lateness, at(millis))).collect()
 }
 
 #[rstest]
-fn a_process_that_stays_late_begins_less_and_then_all_again() {
+fn a_process_that_stays_late_admits_less_until_it_keeps_up_again() {
     let mut pressure = ProcessPressure::default();
     let paces = sample(&mut pressure, LATE, 1_000, 3_000);
     assert!(paces.iter().all(|pace| *pace == ProcessPace::Late), "{paces:?}");
@@ -30,7 +30,7 @@
 }
 
 #[rstest]
-fn single_pauses_are_no_sign() {
+fn single_pauses_do_not_reduce_admission() {
     let mut pressure = ProcessPressure::default();
     for second in 1..20 {
         pressure.on_lateness(Duration::from_millis(900), at(second * 1_000 + 5));
@@ -39,7 +39,7 @@
     assert!(pressure.admitted_fraction() > 0.99, "{}", pressure.admitted_fraction());
 }
 
-fn demand() -> SlotRequest {
+fn request() -> SlotRequest {
     SlotRequest {
         importance: Importance(1),
         group: GroupName::new("all"),
@@ -53,15 +53,15 @@
 }
 
 #[rstest]
-fn the_gate_lets_in_no_more_than_the_process_can_carry() {
+fn the_gate_admits_no_more_than_the_process_can_handle() {
     let settings = QueueSettings { max_wait: Duration::from_millis(100), waiting_per_slot: 4 };
     let mut queue = InstanceQueue::new(settings, AdaptiveLimit::new(400, false));
     for _ in 0..100 {
-        assert!(matches!(queue.submit(demand(), at(1_000)), Admission::Dispatch(_)));
+        assert!(matches!(queue.submit(request(), at(1_000)), Admission::Dispatch(_)));
     }
     queue.on_process_pace(ProcessPace::Late);
     assert_eq!(queue.current_limit(), 85);
-    assert!(matches!(queue.submit(demand(), at(1_000)), Admission::Refuse(_)));
+    assert!(matches!(queue.submit(request(), at(1_000)), Admission::Refuse(_)));
     for _ in 0..40 {
         queue.on_process_pace(ProcessPace::InTime);
     }
--- a/crates/overload/tests/queue.rs
+++ b/crates/overload/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one instance by hand.
+//! Example-based tests of the queue and the concurrency limit of one instance.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     InstanceQueue::new(SETTINGS, AdaptiveLimit::new(slots, false))
 }
 
-fn demand(importance: u8, group: &str) -> SlotRequest {
+fn request(importance: u8, group: &str) -> SlotRequest {
     SlotRequest {
         importance: Importance(importance),
         group: GroupName::new(group),
@@ -37,19 +37,19 @@
 }
 
 #[test]
-fn a_free_slot_is_given_at_once() {
+fn a_free_slot_is_given_immediately() {
     let mut queue = queue(2);
-    assert!(matches!(queue.submit(demand(0, "a"), at(0)), Admission::Dispatch(_)));
+    assert!(matches!(queue.submit(request(0, "a"), at(0)), Admission::Dispatch(_)));
     assert_eq!((queue.in_flight(), queue.waiting()), (1, 0));
 }
 
 #[test]
 fn importance_goes_before_arrival_and_deeper_hops_before_roots() {
     let mut queue = queue(1);
-    let running = ticket(queue.submit(demand(1, "a"), at(0)));
-    let root = ticket(queue.submit(demand(1, "a"), at(1)));
-    let deeper = ticket(queue.submit(SlotRequest { hop: 1, ..demand(1, "a") }, at(2)));
-    let important = ticket(queue.submit(demand(3, "a"), at(3)));
+    let running = ticket(queue.submit(request(1, "a"), at(0)));
+    let root = ticket(queue.submit(request(1, "a"), at(1)));
+    let deeper = ticket(queue.submit(SlotRequest { hop: 1, ..request(1, "a") }, at(2)));
+    let important = ticket(queue.submit(request(3, "a"), at(3)));
     queue.finish(running, at(4));
     let mut order = Vec::new();
     while let Some(next) = queue.next(at(4)) {
@@ -68,9 +68,9 @@
 ) {
     let mut queue = queue(1);
     for _ in 0..4 {
-        queue.submit(SlotRequest { expected: Duration::from_millis(60), ..demand(3, "a") }, at(0));
+        queue.submit(SlotRequest { expected: Duration::from_millis(60), ..request(3, "a") }, at(0));
     }
-    let reason = match queue.submit(demand(importance, "a"), at(0)) {
+    let reason = match queue.submit(request(importance, "a"), at(0)) {
         Admission::Refuse(refusal) => Some(refusal.reason),
         _ => None,
     };
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn a_demand_that_cannot_be_answered_in_time_is_refused_at_once() {
+fn a_request_that_cannot_be_answered_in_time_is_refused_immediately() {
     let mut queue = queue(4);
-    let late = SlotRequest { deadline: at(5), ..demand(3, "a") };
+    let late = SlotRequest { deadline: at(5), ..request(3, "a") };
     let refused = queue.submit(late, at(0));
     assert!(matches!(refused, Admission::Refuse(refusal) if refusal.reason == RefusalReason::DeadlineExceeded));
 }
@@ -88,26 +88,26 @@
 #[test]
 fn a_full_queue_displaces_the_last_in_shedding_order() {
     let mut queue = queue(1);
-    queue.submit(SlotRequest { expected: Duration::from_millis(1), ..demand(0, "a") }, at(0));
+    queue.submit(SlotRequest { expected: Duration::from_millis(1), ..request(0, "a") }, at(0));
     let mut waiting = Vec::new();
     for rank in [5, 9, 1, 3] {
-        let low = SlotRequest { rank: SheddingRank(rank), expected: Duration::from_millis(1), ..demand(0, "a") };
+        let low = SlotRequest { rank: SheddingRank(rank), expected: Duration::from_millis(1), ..request(0, "a") };
         waiting.push(ticket(queue.submit(low, at(0))));
     }
-    let admission = queue.submit(demand(3, "a"), at(0));
+    let admission = queue.submit(request(3, "a"), at(0));
     assert!(matches!(admission, Admission::Wait { displaced: Some(victim), .. } if victim == waiting[1]));
 }
 
 #[test]
 fn a_greedy_group_cannot_take_a_modest_group_s_place() {
     let mut queue = queue(1);
-    queue.submit(demand(1, "greedy"), at(0));
+    queue.submit(request(1, "greedy"), at(0));
     for _ in 0..3 {
-        queue.submit(demand(1, "greedy"), at(0));
+        queue.submit(request(1, "greedy"), at(0));
     }
-    let refused = queue.submit(demand(1, "greedy"), at(1));
+    let refused = queue.submit(request(1, "greedy"), at(1));
     assert!(matches!(refused, Admission::Wait { .. } | Admission::Refuse(_)));
-    let modest = queue.submit(demand(1, "modest"), at(1));
+    let modest = queue.submit(request(1, "modest"), at(1));
     assert!(matches!(modest, Admission::Wait { displaced: Some(_), .. }), "{modest:?}");
 }
 
@@ -123,8 +123,8 @@
     let mut running = None;
     for _ in 0..3_000 {
         for (group, weight) in [("heavy", 3), ("light", 1)] {
-            let demand = SlotRequest { weight, deadline: now + Duration::from_secs(60), ..demand(1, group) };
-            match queue.submit(demand, now) {
+            let request = SlotRequest { weight, deadline: now + Duration::from_secs(60), ..request(1, group) };
+            match queue.submit(request, now) {
                 Admission::Dispatch(ticket) => {
                     owner.insert(ticket, group);
                     running = Some(ticket);
@@ -147,12 +147,12 @@
 fn unused_share_is_not_saved_up() {
     let mut queue = queue(1);
     for round in 0..50 {
-        let ticket = ticket(queue.submit(demand(1, "busy"), at(round * 20)));
+        let ticket = ticket(queue.submit(request(1, "busy"), at(round * 20)));
         queue.finish(ticket, at(round * 20 + 20));
     }
-    let running = ticket(queue.submit(demand(1, "busy"), at(1_000 - 60)));
-    let late = SlotRequest { deadline: at(5_000), ..demand(1, "late") };
-    let busy = SlotRequest { deadline: at(5_000), ..demand(1, "busy") };
+    let running = ticket(queue.submit(request(1, "busy"), at(1_000 - 60)));
+    let late = SlotRequest { deadline: at(5_000), ..request(1, "late") };
+    let busy = SlotRequest { deadline: at(5_000), ..request(1, "busy") };
     let first_late = ticket(queue.submit(late.clone(), at(941)));
     let first_busy = ticket(queue.submit(busy, at(942)));
     let second_late = ticket(queue.submit(late, at(943)));
@@ -183,7 +183,8 @@
     assert_eq!(AdaptiveLimit::new(12, true).current(), 3);
 }
 
-/// Breaking 3% of the exchanges used to shrink the limit to a few slots (deep-chain).
+/// Guards against single failures lowering the limit: with 3% of the exchanges broken it shrank to a few
+/// slots.
 #[test]
 fn single_broken_exchanges_leave_the_limit_alone_and_failures_in_a_row_do_not() {
     let mut limit = AdaptiveLimit::new(12, false);
