--- a/crates/retry/src/budget.rs
+++ b/crates/retry/src/budget.rs
@@ -1,13 +1,13 @@
-//! Local retry budget: a ratio of the successes seen by this node.
+//! Local retry budget: a fixed ratio of retries to the successes seen by this node.
 
 /// Credit per success, in thousandths of a retry.
 const CREDIT_PER_SUCCESS: u32 = 100;
 /// Cost of one retry, in thousandths.
 const COST_PER_RETRY: u32 = 1_000;
-/// Largest balance, in thousandths; bounds a burst after a quiet time.
-const LARGEST_BALANCE: u32 = 20_000;
+/// Largest balance, in thousandths; bounds the burst of retries after a quiet period.
+const MAX_BALANCE: u32 = 20_000;
 
-/// Allows about one retry for ten successes, in bursts of at most twenty.
+/// Allows about one retry per ten successes, in bursts of at most twenty.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     balance: u32,
@@ -15,17 +15,17 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { balance: LARGEST_BALANCE }
+        RetryBudget { balance: MAX_BALANCE }
     }
 }
 
 impl RetryBudget {
-    /// Notes a success.
+    /// Records a success.
     pub fn on_success(&mut self) {
-        self.balance = LARGEST_BALANCE.min(self.balance + CREDIT_PER_SUCCESS);
+        self.balance = MAX_BALANCE.min(self.balance + CREDIT_PER_SUCCESS);
     }
 
-    /// Takes the cost of one retry; false when the budget is exhausted.
+    /// Takes the cost of one retry; false if the budget is exhausted.
     pub fn try_take(&mut self) -> bool {
         match self.balance.checked_sub(COST_PER_RETRY) {
             Some(balance) => {
--- a/crates/retry/src/ledger.rs
+++ b/crates/retry/src/ledger.rs
@@ -4,19 +4,19 @@
 
 use olivegate_types::RequestId;
 
-/// Credits by root request. An entry lives as long as its request is in flight.
+/// Remaining retry credits by root request. An entry exists while its request is in flight.
 #[derive(Debug, Default)]
 pub struct RetryLedger {
     remaining: HashMap<RequestId, u8>,
 }
 
 impl RetryLedger {
-    /// Opens the account of a root request with `credits` retries.
+    /// Adds a root request with `credits` retries.
     pub fn open(&mut self, request: RequestId, credits: u8) {
         self.remaining.insert(request, credits);
     }
 
-    /// Takes one credit; false when none is left or the request is not in flight here.
+    /// Takes one credit; false if none is left or the request is not in flight here.
     pub fn take(&mut self, request: RequestId) -> bool {
         match self.remaining.get_mut(&request) {
             Some(credits) if *credits > 0 => {
@@ -27,17 +27,17 @@
         }
     }
 
-    /// Closes the account when the root request has its answer.
+    /// Removes a root request that has its response.
     pub fn close(&mut self, request: RequestId) {
         self.remaining.remove(&request);
     }
 
-    /// Number of requests in flight.
+    /// Number of root requests in flight.
     pub fn len(&self) -> usize {
         self.remaining.len()
     }
 
-    /// True when no request is in flight.
+    /// True if no root request is in flight.
     pub fn is_empty(&self) -> bool {
         self.remaining.is_empty()
     }
--- a/crates/retry/src/window.rs
+++ b/crates/retry/src/window.rs
@@ -1,46 +1,45 @@
-//! Budget of repeats over a sliding window, kept where requests arrive.
+//! Budget of repeated requests over a sliding window, enforced by the gate where the requests arrive.
 //!
-//! What a window may repeat follows from the requests of that window, the one before or the one
-//! half a window earlier, whichever holds most: a service whose callers are held back while it
-//! sheds has few requests just when it needs repeats.
+//! The budget of a window is a ratio of the requests in that window, in the window before or in the one half
+//! a window earlier, whichever has the most: while a service sheds load its callers send fewer requests, just
+//! when it needs repeats.
 //!
-//! All nodes together may repeat a fraction of a service's requests, plus some. Each gate of
-//! the service keeps to that fraction of what arrived at it, plus its part of the rest, so the
-//! sum keeps the bound without a word between the gates.
+//! All nodes together may repeat a fraction of a service's requests, plus a fixed slack. Each gate of the
+//! service allows that fraction of its own arrivals, plus its part of the slack, so that the sum keeps the
+//! bound without communication between the gates.
 //!
-//! What a repeated run calls is a repeat at the called service, whose gates can't refuse it
-//! without failing work that is done. Such *inherited* repeats use up the gate's budget. They
-//! are never more than the fraction that the callers keep to: repeats are bounded by the first
-//! arrivals that were answered or refused unrun, repeats are refused as often as those, and only
-//! runs that are answered make all their calls. So the
-//! bound holds at any depth of a call graph.
+//! The calls that a repeated run makes are repeats at the called service, whose gates can't refuse them
+//! without failing work that is already done. Such *inherited* repeats use up the gate's budget. They never
+//! exceed the fraction that the callers may repeat: repeats are bounded by the first arrivals that were
+//! answered or refused before they ran, repeats are refused as often as first arrivals, and only runs that
+//! are answered make all their calls. So the bound holds at any depth of a call graph.
 
 use std::time::Duration;
 
 use olivegate_types::Moment;
 
-/// Parts of a window; counts older than a window are dropped a part at a time.
-const PARTS: u64 = 10;
-/// Parts over which repeats are counted: at least a window.
-const REPEAT_PARTS: u64 = PARTS + 1;
-/// Parts that are kept: two windows.
-const KEPT_PARTS: u64 = 2 * PARTS + 1;
-/// How many parts earlier the windows end whose requests count.
-const EARLIER: [u64; 3] = [0, PARTS / 2, PARTS];
+/// Buckets of a window; counts older than a window are dropped one bucket at a time.
+const BUCKETS: u64 = 10;
+/// Buckets over which repeats are counted: at least a window.
+const REPEAT_BUCKETS: u64 = BUCKETS + 1;
+/// Buckets that are stored: two windows.
+const STORED_BUCKETS: u64 = 2 * BUCKETS + 1;
+/// How many buckets before now the windows end whose requests count.
+const WINDOW_OFFSETS: [u64; 3] = [0, BUCKETS / 2, BUCKETS];
 
-/// What one gate may repeat.
+/// Bounds on the repeats at one gate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RepeatPolicy {
     /// Repeats allowed per answered first arrival of the window.
     pub ratio: f64,
-    /// Repeats allowed beyond that in each window.
+    /// Repeats allowed in each window in addition.
     pub slack: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Part {
+struct Bucket {
     number: u64,
     answered: f64,
     repeats: f64,
@@ -49,69 +48,68 @@
 /// Counts the first arrivals and repeats of one gate.
 #[derive(Debug, Clone, Default)]
 pub struct RepeatBudget {
-    parts: [Part; KEPT_PARTS as usize],
+    buckets: [Bucket; STORED_BUCKETS as usize],
 }
 
 impl RepeatBudget {
-    fn part(&mut self, policy: &RepeatPolicy, now: Moment) -> &mut Part {
-        let number = part_number(policy, now);
-        let part = &mut self.parts[(number % KEPT_PARTS) as usize];
-        if part.number != number {
-            *part = Part { number, ..Part::default() };
+    fn bucket(&mut self, policy: &RepeatPolicy, now: Moment) -> &mut Bucket {
+        let number = bucket_number(policy, now);
+        let bucket = &mut self.buckets[(number % STORED_BUCKETS) as usize];
+        if bucket.number != number {
+            *bucket = Bucket { number, ..Bucket::default() };
         }
-        part
+        bucket
     }
 
-    /// Notes that a first arrival was answered, or refused unrun by the instance: work that is not
-    /// run makes no calls. `share` is the probability that it was no
-    /// inherited repeat.
-    pub fn on_answered(&mut self, policy: &RepeatPolicy, share: f64, now: Moment) {
-        self.part(policy, now).answered += share;
+    /// Records a first arrival that was answered, or that the instance refused before it ran: a request that
+    /// does not run makes no calls. `probability` is the probability that it was not an inherited repeat.
+    pub fn on_answered(&mut self, policy: &RepeatPolicy, probability: f64, now: Moment) {
+        self.bucket(policy, now).answered += probability;
     }
 
-    /// Notes an arrival that is an inherited repeat with the probability `share`.
-    pub fn on_inherited(&mut self, policy: &RepeatPolicy, share: f64, now: Moment) {
-        if share > 0.0 {
-            self.part(policy, now).repeats += share;
+    /// Records an arrival that is an inherited repeat with the given `probability`.
+    pub fn on_inherited(&mut self, policy: &RepeatPolicy, probability: f64, now: Moment) {
+        if probability > 0.0 {
+            self.bucket(policy, now).repeats += probability;
         }
     }
 
-    /// Requests that count for the window that ends now.
+    /// Requests from which the budget of the window that ends now is computed.
     fn answered(&self, current: u64) -> f64 {
         let answered_in = |earlier: u64| -> f64 {
-            let window = earlier..earlier + PARTS;
-            let in_window = |part: &&Part| window.contains(&current.saturating_sub(part.number));
-            self.parts.iter().filter(in_window).map(|part| part.answered).sum()
+            let window = earlier..earlier + BUCKETS;
+            let in_window = |bucket: &&Bucket| window.contains(&current.saturating_sub(bucket.number));
+            self.buckets.iter().filter(in_window).map(|bucket| bucket.answered).sum()
         };
-        EARLIER.map(answered_in).into_iter().fold(0.0, f64::max)
+        WINDOW_OFFSETS.map(answered_in).into_iter().fold(0.0, f64::max)
     }
 
-    /// True when one more repeat fits into `part` of the window's budget.
-    pub fn allows(&self, policy: &RepeatPolicy, part: f64, now: Moment) -> bool {
-        let current = part_number(policy, now);
-        let in_window = |part: &&Part| current.saturating_sub(part.number) < REPEAT_PARTS;
-        let repeats: f64 = self.parts.iter().filter(in_window).map(|part| part.repeats).sum();
-        repeats + 1.0 <= (self.answered(current) * policy.ratio + policy.slack) * part
+    /// True if one more repeat fits into the given `fraction` of the window's budget.
+    pub fn allows(&self, policy: &RepeatPolicy, fraction: f64, now: Moment) -> bool {
+        let current = bucket_number(policy, now);
+        let in_window = |bucket: &&Bucket| current.saturating_sub(bucket.number) < REPEAT_BUCKETS;
+        let repeats: f64 = self.buckets.iter().filter(in_window).map(|bucket| bucket.repeats).sum();
+        repeats + 1.0 <= (self.answered(current) * policy.ratio + policy.slack) * fraction
     }
 
-    /// Repeats a second that the window's budget comes to.
+    /// The window's budget in repeats per second.
     pub fn rate(&self, policy: &RepeatPolicy, now: Moment) -> f64 {
-        let budget = self.answered(part_number(policy, now)) * policy.ratio + policy.slack;
+        let budget = self.answered(bucket_number(policy, now)) * policy.ratio + policy.slack;
         budget / policy.window.as_secs_f64()
     }
 
-    /// Takes one repeat from `part` of the window's budget; false when that is used up.
-    pub fn try_repeat(&mut self, policy: &RepeatPolicy, part: f64, now: Moment) -> bool {
-        let allowed = self.allows(policy, part, now);
+    /// Takes one repeat from the given `fraction` of the window's budget; false if that is used up.
+    pub fn try_repeat(&mut self, policy: &RepeatPolicy, fraction: f64, now: Moment) -> bool {
+        let allowed = self.allows(policy, fraction, now);
         if allowed {
-            self.part(policy, now).repeats += 1.0;
+            self.bucket(policy, now).repeats += 1.0;
         }
         allowed
     }
 }
 
-/// Number of the part of the window that `now` lies in.
-fn part_number(policy: &RepeatPolicy, now: Moment) -> u64 {
-    let length = policy.window.div_f64(PARTS as f64).max(Duration::from_millis(1));
+/// Number of the bucket that contains `now`.
+fn bucket_number(policy: &RepeatPolicy, now: Moment) -> u64 {
+    let length = policy.window.div_f64(BUCKETS as f64).max(Duration::from_millis(1));
     (now.since_start().as_nanos() / length.as_nanos()) as u64
 }
--- a/crates/retry/tests/ledger.rs
+++ b/crates/retry/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The allowance holds for the whole call graph, however deep and wide.
+//! The retry allowance bounds the whole call graph, however deep and wide it is.
 
 use olivegate_retry::{RetryBudget, RetryLedger};
 use olivegate_types::RequestId;
@@ -6,18 +6,19 @@
 
 const ROOT: RequestId = RequestId(7);
 
-/// A call graph: each call makes `width` calls on behalf, `depth` levels deep; every
-/// attempt fails, so each hop wants to retry. Returns the attempts that were retries.
-fn retries_in_graph(ledger: &mut RetryLedger, depth: u32, width: u32, wish: u32) -> u32 {
+/// Simulates a call graph in which each call makes `width` further calls, `depth` levels deep, and every
+/// attempt fails, so that each hop tries to retry `tries` times. Returns the number of attempts that were
+/// retries.
+fn retries_in_graph(ledger: &mut RetryLedger, depth: u32, width: u32, tries: u32) -> u32 {
     if depth == 0 {
         return 0;
     }
     let mut retries = 0;
     for _ in 0..width {
-        retries += retries_in_graph(ledger, depth - 1, width, wish);
-        for _ in 0..wish {
+        retries += retries_in_graph(ledger, depth - 1, width, tries);
+        for _ in 0..tries {
             if ledger.take(ROOT) {
-                retries += 1 + retries_in_graph(ledger, depth - 1, width, wish);
+                retries += 1 + retries_in_graph(ledger, depth - 1, width, tries);
             }
         }
     }
@@ -28,10 +29,10 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn retries_never_exceed_the_allowance(bound in 0..20_u8, depth in 1..6_u32, width in 1..4_u32, wish in 0..4_u32) {
+    fn retries_never_exceed_the_allowance(bound in 0..20_u8, depth in 1..6_u32, width in 1..4_u32, tries in 0..4_u32) {
         let mut ledger = RetryLedger::default();
         ledger.open(ROOT, bound);
-        prop_assert!(retries_in_graph(&mut ledger, depth, width, wish) <= u32::from(bound));
+        prop_assert!(retries_in_graph(&mut ledger, depth, width, tries) <= u32::from(bound));
     }
 }
 
--- a/crates/retry/tests/window.rs
+++ b/crates/retry/tests/window.rs
@@ -1,5 +1,5 @@
-//! The windowed budget of repeats against simple counts: one gate, all gates of a service, and
-//! a chain of services.
+//! Compares the sliding-window budget of repeats with simple counts: one gate, all gates of a service, and a
+//! chain of services.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
         budget.on_answered(&POLICY, 1.0, now);
     }
     let granted = (0..20).filter(|_| budget.try_repeat(&POLICY, 1.0, now)).count();
-    assert_eq!(granted, 5, "a fifth of ten, and three");
+    assert_eq!(granted, 5, "a fifth of ten requests, and a slack of three");
     assert!(!budget.try_repeat(&POLICY, 1.0, now + Duration::from_secs(5)));
     assert!(budget.try_repeat(&POLICY, 1.0, now + Duration::from_secs(11)), "the window has passed");
 }
@@ -36,7 +36,7 @@
 }
 
 #[rstest]
-fn a_kind_may_be_bound_to_a_part_of_the_budget() {
+fn a_kind_may_be_limited_to_a_fraction_of_the_budget() {
     let mut budget = RepeatBudget::default();
     let now = Moment::from_millis(50_000);
     assert!(budget.try_repeat(&POLICY, 0.5, now));
@@ -55,7 +55,7 @@
     Repeat(usize),
 }
 
-/// When what happened, at all gates of a service.
+/// Times of the events at all gates of a service.
 #[derive(Debug, Clone, Default)]
 struct Counted {
     now: u64,
@@ -68,9 +68,9 @@
     times.iter().filter(|at| **at <= now && **at + WINDOW_MS > now).count() as f64
 }
 
-/// The most in the window that ends now, the one before and the one half a window earlier; the
-/// earlier ones end within a tenth of a window, as counts are kept.
-fn best_window(times: &[u64], now: u64) -> f64 {
+/// The largest count of the window that ends now, the one before and the one half a window earlier. The
+/// earlier ones may end up to a tenth of a window sooner, because counts are kept in buckets of that length.
+fn largest_window(times: &[u64], now: u64) -> f64 {
     let tenth = WINDOW_MS / 10;
     let ends = |earlier: u64| (earlier - tenth..=earlier).step_by(50);
     let windows = [0].into_iter().chain(ends(WINDOW_MS / 2)).chain(ends(WINDOW_MS));
@@ -138,11 +138,11 @@
 }
 
 impl Gates {
-    /// The sum over all gates keeps the bound, unless what was inherited alone exceeds it.
+    /// The sum over all gates keeps the bound, unless the inherited repeats alone exceed it.
     fn check(&self, counted: &Counted) {
         let slack = POLICY.slack * GATES as f64;
-        let best: f64 = counted.answered.iter().map(|times| best_window(times, counted.now)).sum();
-        let allowed = best * POLICY.ratio + slack;
+        let largest: f64 = counted.answered.iter().map(|times| largest_window(times, counted.now)).sum();
+        let allowed = largest * POLICY.ratio + slack;
         let inherited = within(&counted.inherited, counted.now);
         let granted = within(&self.granted, counted.now);
         assert!(granted <= allowed, "{granted} of {allowed}");
@@ -158,14 +158,14 @@
     fn the_sum_over_the_gates_of_a_service_keeps_the_bound(sequential 1..300 => Gates);
 }
 
-/// How often a run fails at a level, and how.
+/// Probabilities of faults of a run at one level.
 #[derive(Debug, Clone, Copy)]
 struct Faults {
-    lost: f64,
-    early: f64,
+    answer_lost: f64,
+    refused: f64,
 }
 
-/// A service of a chain: its gates, and what the rule counts.
+/// A service in a chain: its gates and the counts to check the bound with.
 struct Service {
     budgets: Vec<RepeatBudget>,
     faults: Faults,
@@ -174,21 +174,22 @@
     repeats: f64,
 }
 
-/// Nothing beyond the ratio, so that a chain that multiplies repeats shows.
+/// No slack beyond the ratio, so that a chain that multiplies repeats is detected.
 const CHAIN: RepeatPolicy = RepeatPolicy { slack: 0.0, ..POLICY };
-/// Room over the ratio and beyond it for chance: which runs make all their calls.
-const KEPT: f64 = 1.25;
-const FEW: f64 = 12.0;
+/// Tolerances on the ratio and beyond it for random variation, since it is random which runs make all their
+/// calls.
+const RATIO_TOLERANCE: f64 = 1.25;
+const COUNT_TOLERANCE: f64 = 12.0;
 
-/// Runs a request at `level` until it is answered or given up. `is_inherited`: the run that
-/// calls is a repeat.
-fn request(chain: &mut [Service], level: usize, is_inherited: bool, dice: &mut impl FnMut() -> f64) -> bool {
+/// Runs a request at `level` until it is answered or given up. `is_inherited` says that the calling run is a
+/// repeat.
+fn request(chain: &mut [Service], level: usize, is_inherited: bool, random: &mut impl FnMut() -> f64) -> bool {
     let now = Moment::from_millis(20_000);
     let Some(service) = chain.get_mut(level) else { return true };
     service.requests += 1.0;
     for attempt in 0..3 {
         let service = &mut chain[level];
-        let gate = (dice() * GATES as f64) as usize % GATES;
+        let gate = (random() * GATES as f64) as usize % GATES;
         let is_repeat = attempt > 0;
         if is_repeat && !service.budgets[gate].try_repeat(&CHAIN, 1.0, now) {
             return false;
@@ -198,15 +199,15 @@
             service.budgets[gate].on_inherited(&CHAIN, 1.0, now);
         }
         let (faults, calls) = (service.faults, service.calls);
-        if dice() < faults.early {
-            // Refused unrun: it counts as a request all the same.
+        if random() < faults.refused {
+            // Refused before it ran: it still counts as a request.
             if !is_repeat && !is_inherited {
                 service.budgets[gate].on_answered(&CHAIN, 1.0, now);
             }
             continue;
         }
-        let all_called = (0..calls).all(|_| request(chain, level + 1, is_repeat || is_inherited, dice));
-        if dice() < faults.lost {
+        let all_called = (0..calls).all(|_| request(chain, level + 1, is_repeat || is_inherited, random));
+        if random() < faults.answer_lost {
             continue;
         }
         if !is_repeat && !is_inherited {
@@ -220,15 +221,15 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, ..ProptestConfig::default() })]
 
-    /// Whatever fails at which level of a chain eleven deep, each service gets no more repeats
-    /// than the ratio of its requests and some for chance.
+    /// Whatever fails at whichever level of a chain of up to ten services, each service gets no more repeats
+    /// than the ratio of its requests, plus the tolerances.
     #[test]
     fn no_depth_multiplies_repeats(
         faults in proptest::collection::vec((0.0_f64..0.4, 0.0_f64..0.4, 1_u32..3), 2..11),
         seed in any::<u64>(),
     ) {
         let mut state = seed | 1;
-        let mut dice = || {
+        let mut random = || {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             (state >> 11) as f64 / (1_u64 << 53) as f64
         };
@@ -236,19 +237,19 @@
             .iter()
             .enumerate()
             // A few levels fan out; more would take too long.
-            .map(|(level, (lost, early, calls))| Service {
+            .map(|(level, (answer_lost, refused, calls))| Service {
                 budgets: vec![RepeatBudget::default(); GATES],
-                faults: Faults { lost: *lost, early: *early },
+                faults: Faults { answer_lost: *answer_lost, refused: *refused },
                 calls: if level < 3 { *calls } else { 1 },
                 requests: 0.0,
                 repeats: 0.0,
             })
             .collect();
         for _ in 0..1_000 {
-            request(&mut chain, 0, false, &mut dice);
+            request(&mut chain, 0, false, &mut random);
         }
         for (level, service) in chain.iter().enumerate() {
-            let allowed = service.requests * CHAIN.ratio * KEPT + FEW;
+            let allowed = service.requests * CHAIN.ratio * RATIO_TOLERANCE + COUNT_TOLERANCE;
             prop_assert!(service.repeats <= allowed, "level {level}: {} of {allowed}", service.repeats);
         }
     }
