--- a/crates/retry/src/lib.rs
+++ b/crates/retry/src/lib.rs
@@ -6,7 +6,7 @@
 //! would multiply at every fan-out; see docs/DESIGN.md.
 //!
 //! If calls can't be attributed to their root request, each gate of a service instead enforces its own part
-//! of a bound over all nodes: [`window::RepeatBudget`].
+//! of a bound over all nodes: [`window::WindowRetryBudget`].
 
 pub mod budget;
 pub mod ledger;
@@ -14,4 +14,4 @@
 
 pub use budget::RetryBudget;
 pub use ledger::RetryLedger;
-pub use window::{RepeatBudget, RepeatPolicy};
+pub use window::{RetryPolicy, WindowRetryBudget};
--- a/crates/retry/src/window.rs
+++ b/crates/retry/src/window.rs
@@ -29,7 +29,7 @@
 
 /// Bounds on the repeats at one gate.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatPolicy {
+pub struct RetryPolicy {
     /// Repeats allowed per answered first arrival of the window.
     pub ratio: f64,
     /// Repeats allowed in each window in addition.
@@ -47,12 +47,12 @@
 
 /// Counts the first arrivals and repeats of one gate.
 #[derive(Debug, Clone, Default)]
-pub struct RepeatBudget {
+pub struct WindowRetryBudget {
     buckets: [Bucket; STORED_BUCKETS as usize],
 }
 
-impl RepeatBudget {
-    fn bucket(&mut self, policy: &RepeatPolicy, now: Moment) -> &mut Bucket {
+impl WindowRetryBudget {
+    fn bucket(&mut self, policy: &RetryPolicy, now: Moment) -> &mut Bucket {
         let number = bucket_number(policy, now);
         let bucket = &mut self.buckets[(number % STORED_BUCKETS) as usize];
         if bucket.number != number {
@@ -63,12 +63,12 @@
 
     /// Records a first arrival that was answered, or that the instance refused before it ran: a request that
     /// does not run makes no calls. `probability` is the probability that it was not an inherited repeat.
-    pub fn on_answered(&mut self, policy: &RepeatPolicy, probability: f64, now: Moment) {
+    pub fn on_answered(&mut self, policy: &RetryPolicy, probability: f64, now: Moment) {
         self.bucket(policy, now).answered += probability;
     }
 
     /// Records an arrival that is an inherited repeat with the given `probability`.
-    pub fn on_inherited(&mut self, policy: &RepeatPolicy, probability: f64, now: Moment) {
+    pub fn on_inherited(&mut self, policy: &RetryPolicy, probability: f64, now: Moment) {
         if probability > 0.0 {
             self.bucket(policy, now).repeats += probability;
         }
@@ -85,7 +85,7 @@
     }
 
     /// True if one more repeat fits into the given `fraction` of the window's budget.
-    pub fn allows(&self, policy: &RepeatPolicy, fraction: f64, now: Moment) -> bool {
+    pub fn allows(&self, policy: &RetryPolicy, fraction: f64, now: Moment) -> bool {
         let current = bucket_number(policy, now);
         let in_window = |bucket: &&Bucket| current.saturating_sub(bucket.number) < REPEAT_BUCKETS;
         let repeats: f64 = self.buckets.iter().filter(in_window).map(|bucket| bucket.repeats).sum();
@@ -93,13 +93,13 @@
     }
 
     /// The window's budget in repeats per second.
-    pub fn rate(&self, policy: &RepeatPolicy, now: Moment) -> f64 {
+    pub fn rate(&self, policy: &RetryPolicy, now: Moment) -> f64 {
         let budget = self.answered(bucket_number(policy, now)) * policy.ratio + policy.slack;
         budget / policy.window.as_secs_f64()
     }
 
     /// Takes one repeat from the given `fraction` of the window's budget; false if that is used up.
-    pub fn try_repeat(&mut self, policy: &RepeatPolicy, fraction: f64, now: Moment) -> bool {
+    pub fn try_retry(&mut self, policy: &RetryPolicy, fraction: f64, now: Moment) -> bool {
         let allowed = self.allows(policy, fraction, now);
         if allowed {
             self.bucket(policy, now).repeats += 1.0;
@@ -109,7 +109,7 @@
 }
 
 /// Number of the bucket that contains `now`.
-fn bucket_number(policy: &RepeatPolicy, now: Moment) -> u64 {
+fn bucket_number(policy: &RetryPolicy, now: Moment) -> u64 {
     let length = policy.window.div_f64(BUCKETS as f64).max(Duration::from_millis(1));
     (now.since_start().as_nanos() / length.as_nanos()) as u64
 }
--- a/crates/retry/tests/window.rs
+++ b/crates/retry/tests/window.rs
@@ -3,43 +3,43 @@
 
 use std::time::Duration;
 
-use olivegate_retry::{RepeatBudget, RepeatPolicy};
+use olivegate_retry::{RetryPolicy, WindowRetryBudget};
 use olivegate_types::Moment;
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use rstest::rstest;
 
-const POLICY: RepeatPolicy = RepeatPolicy { ratio: 0.2, slack: 3.0, window: Duration::from_secs(10) };
+const POLICY: RetryPolicy = RetryPolicy { ratio: 0.2, slack: 3.0, window: Duration::from_secs(10) };
 
 #[rstest]
 fn repeats_follow_answered_requests() {
-    let mut budget = RepeatBudget::default();
+    let mut budget = WindowRetryBudget::default();
     let now = Moment::from_millis(50_000);
     for _ in 0..10 {
         budget.on_answered(&POLICY, 1.0, now);
     }
-    let granted = (0..20).filter(|_| budget.try_repeat(&POLICY, 1.0, now)).count();
+    let granted = (0..20).filter(|_| budget.try_retry(&POLICY, 1.0, now)).count();
     assert_eq!(granted, 5, "a fifth of ten requests, and a slack of three");
-    assert!(!budget.try_repeat(&POLICY, 1.0, now + Duration::from_secs(5)));
-    assert!(budget.try_repeat(&POLICY, 1.0, now + Duration::from_secs(11)), "the window has passed");
+    assert!(!budget.try_retry(&POLICY, 1.0, now + Duration::from_secs(5)));
+    assert!(budget.try_retry(&POLICY, 1.0, now + Duration::from_secs(11)), "the window has passed");
 }
 
 #[rstest]
 fn inherited_repeats_use_the_budget_up() {
-    let mut budget = RepeatBudget::default();
+    let mut budget = WindowRetryBudget::default();
     let now = Moment::from_millis(50_000);
     for _ in 0..4 {
         budget.on_inherited(&POLICY, 0.5, now);
     }
-    assert!(budget.try_repeat(&POLICY, 1.0, now));
-    assert!(!budget.try_repeat(&POLICY, 1.0, now), "two inherited, one taken, three allowed");
+    assert!(budget.try_retry(&POLICY, 1.0, now));
+    assert!(!budget.try_retry(&POLICY, 1.0, now), "two inherited, one taken, three allowed");
 }
 
 #[rstest]
 fn a_kind_may_be_limited_to_a_fraction_of_the_budget() {
-    let mut budget = RepeatBudget::default();
+    let mut budget = WindowRetryBudget::default();
     let now = Moment::from_millis(50_000);
-    assert!(budget.try_repeat(&POLICY, 0.5, now));
+    assert!(budget.try_retry(&POLICY, 0.5, now));
     assert!(!budget.allows(&POLICY, 0.5, now));
     assert!(budget.allows(&POLICY, 1.0, now));
 }
@@ -108,7 +108,7 @@
 
 /// The budgets of the gates, and the repeats that they granted.
 struct Gates {
-    budgets: Vec<RepeatBudget>,
+    budgets: Vec<WindowRetryBudget>,
     granted: Vec<u64>,
 }
 
@@ -117,7 +117,7 @@
     type Reference = Counted;
 
     fn init_test(_: &Counted) -> Gates {
-        Gates { budgets: vec![RepeatBudget::default(); GATES], granted: Vec::new() }
+        Gates { budgets: vec![WindowRetryBudget::default(); GATES], granted: Vec::new() }
     }
 
     fn apply(mut gates: Gates, counted: &Counted, event: Event) -> Gates {
@@ -127,7 +127,7 @@
             Event::Answered(gate) => gates.budgets[gate].on_answered(&POLICY, 1.0, now),
             Event::Inherited(gate) => gates.budgets[gate].on_inherited(&POLICY, 1.0, now),
             Event::Repeat(gate) => {
-                if gates.budgets[gate].try_repeat(&POLICY, 1.0, now) {
+                if gates.budgets[gate].try_retry(&POLICY, 1.0, now) {
                     gates.granted.push(counted.now);
                     gates.check(counted);
                 }
@@ -167,7 +167,7 @@
 
 /// A service in a chain: its gates and the counts to check the bound with.
 struct Service {
-    budgets: Vec<RepeatBudget>,
+    budgets: Vec<WindowRetryBudget>,
     faults: Faults,
     calls: u32,
     requests: f64,
@@ -175,7 +175,7 @@
 }
 
 /// No slack beyond the ratio, so that a chain that multiplies repeats is detected.
-const CHAIN: RepeatPolicy = RepeatPolicy { slack: 0.0, ..POLICY };
+const CHAIN: RetryPolicy = RetryPolicy { slack: 0.0, ..POLICY };
 /// Tolerances on the ratio and beyond it for random variation, since it is random which runs make all their
 /// calls.
 const RATIO_TOLERANCE: f64 = 1.25;
@@ -191,7 +191,7 @@
         let service = &mut chain[level];
         let gate = (random() * GATES as f64) as usize % GATES;
         let is_repeat = attempt > 0;
-        if is_repeat && !service.budgets[gate].try_repeat(&CHAIN, 1.0, now) {
+        if is_repeat && !service.budgets[gate].try_retry(&CHAIN, 1.0, now) {
             return false;
         }
         service.repeats += f64::from(u8::from(is_repeat || is_inherited));
@@ -238,7 +238,7 @@
             .enumerate()
             // A few levels fan out; more would take too long.
             .map(|(level, (answer_lost, refused, calls))| Service {
-                budgets: vec![RepeatBudget::default(); GATES],
+                budgets: vec![WindowRetryBudget::default(); GATES],
                 faults: Faults { answer_lost: *answer_lost, refused: *refused },
                 calls: if level < 3 { *calls } else { 1 },
                 requests: 0.0,
--- a/crates/sidecar/src/gate/repeats.rs
+++ b/crates/sidecar/src/gate/repeats.rs
@@ -6,7 +6,7 @@
 
 use std::cell::RefCell;
 
-use olivegate_retry::{RepeatBudget, RepeatPolicy};
+use olivegate_retry::{RetryPolicy, WindowRetryBudget};
 use olivegate_types::Moment;
 
 use crate::gate_protocol::Offer;
@@ -25,13 +25,13 @@
 /// The budget of a gate.
 #[derive(Debug, Default)]
 pub struct GateRepeats {
-    budget: RefCell<RepeatBudget>,
+    budget: RefCell<WindowRetryBudget>,
 }
 
-fn policy(node: &Node) -> RepeatPolicy {
+fn policy(node: &Node) -> RetryPolicy {
     let settings = node.settings();
     let gates = node.cluster.borrow().directory.ready_instances(&settings.service).len().max(1);
-    RepeatPolicy {
+    RetryPolicy {
         ratio: settings.bounds.repeat_ratio * RATIO_PART,
         slack: settings.bounds.repeat_slack * SLACK_PART / gates as f64,
         window: settings.bounds.repeat_window,
@@ -53,7 +53,7 @@
     pub fn begin(&self, node: &Node, offer: &Offer, now: Moment) -> bool {
         let mut budget = self.budget.borrow_mut();
         if offer.is_retry {
-            return budget.try_repeat(&policy(node), part_of(offer), now);
+            return budget.try_retry(&policy(node), part_of(offer), now);
         }
         budget.on_inherited(&policy(node), f64::from(offer.parent_retry_probability), now);
         true
