--- a/crates/retry/tests/window.rs
+++ b/crates/retry/tests/window.rs
@@ -1,4 +1,4 @@
-//! Compares the sliding-window budget of repeats with simple counts: one gate, all gates of a service, and a
+//! Compares the sliding-window budget of retries with simple counts: one gate, all gates of a service, and a
 //! chain of services.
 
 use std::time::Duration;
@@ -12,7 +12,7 @@
 const POLICY: RetryPolicy = RetryPolicy { ratio: 0.2, slack: 3.0, window: Duration::from_secs(10) };
 
 #[rstest]
-fn repeats_follow_answered_requests() {
+fn retries_follow_answered_requests() {
     let mut budget = WindowRetryBudget::default();
     let now = Moment::from_millis(50_000);
     for _ in 0..10 {
@@ -25,7 +25,7 @@
 }
 
 #[rstest]
-fn inherited_repeats_use_the_budget_up() {
+fn inherited_retries_use_the_budget_up() {
     let mut budget = WindowRetryBudget::default();
     let now = Moment::from_millis(50_000);
     for _ in 0..4 {
@@ -52,7 +52,7 @@
     Pause(u64),
     Answered(usize),
     Inherited(usize),
-    Repeat(usize),
+    Retry(usize),
 }
 
 /// Times of the events at all gates of a service.
@@ -90,7 +90,7 @@
             2 => (0_u64..1_500).prop_map(Event::Pause),
             6 => (0..GATES).prop_map(Event::Answered),
             1 => (0..GATES).prop_map(Event::Inherited),
-            4 => (0..GATES).prop_map(Event::Repeat),
+            4 => (0..GATES).prop_map(Event::Retry),
         ]
         .boxed()
     }
@@ -100,13 +100,13 @@
             Event::Pause(millis) => state.now += millis,
             Event::Answered(gate) => state.answered[*gate].push(state.now),
             Event::Inherited(_) => state.inherited.push(state.now),
-            Event::Repeat(_) => {}
+            Event::Retry(_) => {}
         }
         state
     }
 }
 
-/// The budgets of the gates, and the repeats that they granted.
+/// The budgets of the gates, and the retries that they granted.
 struct Gates {
     budgets: Vec<WindowRetryBudget>,
     granted: Vec<u64>,
@@ -126,7 +126,7 @@
             Event::Pause(_) => {}
             Event::Answered(gate) => gates.budgets[gate].on_answered(&POLICY, 1.0, now),
             Event::Inherited(gate) => gates.budgets[gate].on_inherited(&POLICY, 1.0, now),
-            Event::Repeat(gate) => {
+            Event::Retry(gate) => {
                 if gates.budgets[gate].try_retry(&POLICY, 1.0, now) {
                     gates.granted.push(counted.now);
                     gates.check(counted);
@@ -138,7 +138,7 @@
 }
 
 impl Gates {
-    /// The sum over all gates keeps the bound, unless the inherited repeats alone exceed it.
+    /// The sum over all gates keeps the bound, unless the inherited retries alone exceed it.
     fn check(&self, counted: &Counted) {
         let slack = POLICY.slack * GATES as f64;
         let largest: f64 = counted.answered.iter().map(|times| largest_window(times, counted.now)).sum();
@@ -171,10 +171,10 @@
     faults: Faults,
     calls: u32,
     requests: f64,
-    repeats: f64,
+    retries: f64,
 }
 
-/// No slack beyond the ratio, so that a chain that multiplies repeats is detected.
+/// No slack beyond the ratio, so that a chain that multiplies retries is detected.
 const CHAIN: RetryPolicy = RetryPolicy { slack: 0.0, ..POLICY };
 /// Tolerances on the ratio and beyond it for random variation, since it is random which runs make all their
 /// calls.
@@ -182,7 +182,7 @@
 const COUNT_TOLERANCE: f64 = 12.0;
 
 /// Runs a request at `level` until it is answered or given up. `is_inherited` says that the calling run is a
-/// repeat.
+/// retry.
 fn request(chain: &mut [Service], level: usize, is_inherited: bool, random: &mut impl FnMut() -> f64) -> bool {
     let now = Moment::from_millis(20_000);
     let Some(service) = chain.get_mut(level) else { return true };
@@ -190,27 +190,27 @@
     for attempt in 0..3 {
         let service = &mut chain[level];
         let gate = (random() * GATES as f64) as usize % GATES;
-        let is_repeat = attempt > 0;
-        if is_repeat && !service.budgets[gate].try_retry(&CHAIN, 1.0, now) {
+        let is_retry = attempt > 0;
+        if is_retry && !service.budgets[gate].try_retry(&CHAIN, 1.0, now) {
             return false;
         }
-        service.repeats += f64::from(u8::from(is_repeat || is_inherited));
-        if !is_repeat && is_inherited {
+        service.retries += f64::from(u8::from(is_retry || is_inherited));
+        if !is_retry && is_inherited {
             service.budgets[gate].on_inherited(&CHAIN, 1.0, now);
         }
         let (faults, calls) = (service.faults, service.calls);
         if random() < faults.refused {
             // Refused before it ran: it still counts as a request.
-            if !is_repeat && !is_inherited {
+            if !is_retry && !is_inherited {
                 service.budgets[gate].on_answered(&CHAIN, 1.0, now);
             }
             continue;
         }
-        let all_called = (0..calls).all(|_| request(chain, level + 1, is_repeat || is_inherited, random));
+        let all_called = (0..calls).all(|_| request(chain, level + 1, is_retry || is_inherited, random));
         if random() < faults.answer_lost {
             continue;
         }
-        if !is_repeat && !is_inherited {
+        if !is_retry && !is_inherited {
             chain[level].budgets[gate].on_answered(&CHAIN, 1.0, now);
         }
         return all_called;
@@ -221,10 +221,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, ..ProptestConfig::default() })]
 
-    /// Whatever fails at whichever level of a chain of up to ten services, each service gets no more repeats
+    /// Whatever fails at whichever level of a chain of up to ten services, each service gets no more retries
     /// than the ratio of its requests, plus the tolerances.
     #[test]
-    fn no_depth_multiplies_repeats(
+    fn no_depth_multiplies_retries(
         faults in proptest::collection::vec((0.0_f64..0.4, 0.0_f64..0.4, 1_u32..3), 2..11),
         seed in any::<u64>(),
     ) {
@@ -242,7 +242,7 @@
                 faults: Faults { answer_lost: *answer_lost, refused: *refused },
                 calls: if level < 3 { *calls } else { 1 },
                 requests: 0.0,
-                repeats: 0.0,
+                retries: 0.0,
             })
             .collect();
         for _ in 0..1_000 {
@@ -250,7 +250,7 @@
         }
         for (level, service) in chain.iter().enumerate() {
             let allowed = service.requests * CHAIN.ratio * RATIO_TOLERANCE + COUNT_TOLERANCE;
-            prop_assert!(service.repeats <= allowed, "level {level}: {} of {allowed}", service.repeats);
+            prop_assert!(service.retries <= allowed, "level {level}: {} of {allowed}", service.retries);
         }
     }
 }
