--- a/crates/routing/src/balance.rs
+++ b/crates/routing/src/balance.rs
@@ -1,12 +1,11 @@
-//! Power of two choices over own observations, near instances first.
+//! Load balancing by power of two choices, preferring instances in the same zone.
 //!
-//! Two instances are drawn among the near ones (this zone) and two among the others;
-//! the cheapest of the four wins. The cost of an instance grows with the part of its
-//! slots in use, as last reported by its gate or as outstanding from here, steeply once
-//! its slots are nearly all used; being far costs a constant. So a near instance with a
-//! free slot is preferred, and a far one is taken when the near ones queue. Instances
-//! that fail several times in a row are ejected for a while; never more than half of a
-//! service.
+//! Two instances are sampled from this zone and two from the others, and the one with the lowest cost is
+//! chosen. The cost of an instance grows with the fraction of its slots in use, as last reported by its gate
+//! or as outstanding from this node, and grows steeply once nearly all slots are used; being in another zone
+//! adds a constant. So a near instance with a free slot is preferred, and a far one is used when the near
+//! ones queue. Instances that fail several times in a row are ejected for a while, but never more than half
+//! of a service.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,137 +14,136 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-/// Failures in a row after which an instance is ejected.
+/// Consecutive failures after which an instance is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
-/// First ejection time; it doubles with each further ejection.
+/// Duration of the first ejection; it doubles with each further ejection.
 const FIRST_EJECTION: Duration = Duration::from_secs(1);
-/// Most doublings of the ejection time.
-const MOST_DOUBLINGS: u32 = 4;
-/// Cost added to an instance in another zone.
+/// Largest number of times that the duration of an ejection is doubled.
+const MAX_DOUBLINGS: u32 = 4;
+/// Cost of an instance in another zone.
 const REMOTE_ZONE_COST: f64 = 0.3;
-/// Cost added to an instance whose gate is another node of this zone.
+/// Cost of an instance whose gate is another node of this zone.
 const REMOTE_GATE_COST: f64 = 0.05;
-/// Occupancy from which on the cost grows steeply.
+/// Occupancy above which the cost grows steeply.
 const NEARLY_FULL: f64 = 0.9;
 /// Cost per unit of occupancy below [`NEARLY_FULL`].
 const FREE_SLOPE: f64 = 0.1;
 /// Cost per unit of occupancy above [`NEARLY_FULL`].
 const FULL_SLOPE: f64 = 1.0;
-/// Part of the objective that requests may spend in an instance before that costs.
-const SLOW_FROM: f64 = 0.6;
-/// Cost per further part of the objective.
+/// Fraction of the latency objective that requests may spend in an instance without adding cost.
+const SLOW_THRESHOLD: f64 = 0.6;
+/// Cost per unit of latency ratio above [`SLOW_THRESHOLD`].
 const SLOW_SLOPE: f64 = 1.0;
-/// Cost of an instance whose gate has fallen silent.
+/// Cost of an instance whose gate is silent.
 const SILENT_COST: f64 = 4.0;
-/// Cost of an instance that takes no more requests for now, by the rate that it declares.
-const AWAY_COST: f64 = 4.0;
-/// Time after which a silent gate is tried again.
-const SILENCE_LIFETIME: Duration = Duration::from_millis(1_000);
-/// Cost of an instance all of whose exchanges fail.
+/// Cost of an instance that accepts no more requests for now because of the rate that it declares.
+const RATE_LIMITED_COST: f64 = 4.0;
+/// Time after which a silent gate is tried again without that cost.
+const SILENCE_DURATION: Duration = Duration::from_millis(1_000);
+/// Cost per unit of failure rate, and so the cost of an instance all of whose exchanges fail.
 const FAILING_SLOPE: f64 = 3.0;
-/// Time in which the cost of being slow or failing fades when nothing new is reported.
-const HEALTH_FADES: Duration = Duration::from_secs(4);
-/// A report older than this no longer counts.
+/// Time in which the cost of being slow or failing decays to zero if nothing new is reported.
+const HEALTH_DECAY: Duration = Duration::from_secs(4);
+/// Age up to which an occupancy report counts.
 const REPORT_LIFETIME: Duration = Duration::from_millis(500);
 
-/// An instance that may be chosen.
+/// An instance that can be chosen.
 #[derive(Debug, Clone)]
 pub struct Candidate {
     /// The instance.
     pub instance: InstanceName,
-    /// True when it is in this node's zone.
+    /// True if it is in this node's zone.
     pub same_zone: bool,
-    /// True when this node is its gate.
+    /// True if this node is its gate.
     pub own_gate: bool,
 }
 
-/// What one call showed about an instance.
+/// What the result of one call says about an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
-    /// It answered.
+    /// The instance answered.
     Answered,
-    /// It could not be reached, broke off or timed out.
+    /// The instance could not be reached, closed the connection early or timed out.
     Failed,
     /// The call says nothing about the instance (cancelled, refused for lack of capacity).
     Neutral,
 }
 
-/// How an instance fares, on average over its last exchanges.
+/// Health of an instance, averaged over its last exchanges.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Health {
-    /// Time that requests spend in it, over their objective.
+    /// Time that requests spend in the instance, divided by their objective.
     pub latency_ratio: f64,
-    /// Fraction of exchanges without an answer.
+    /// Fraction of exchanges without a response.
     pub failure_rate: f64,
 }
 
-/// A gate's report as an edge remembers it.
+/// The last report of a gate, as stored at an edge.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Report {
-    /// Requests in the instance and waiting, over its limit.
+    /// Requests in the instance and waiting, divided by its limit.
     pub occupancy: f64,
-    /// Age of the report; the longest span when there was none.
+    /// Age of the report; [`Duration::MAX`] if there was none.
     pub age: Duration,
 }
 
 #[derive(Debug, Clone, Default)]
-struct State {
+struct InstanceState {
     outstanding: u32,
     reported_occupancy: f64,
     reported_at: Option<Moment>,
     health: Health,
     health_at: Moment,
     silent_at: Option<Moment>,
-    away_until: Option<Moment>,
+    rate_limited_until: Option<Moment>,
     failures_in_a_row: u32,
     ejections: u32,
     ejected_until: Option<Moment>,
 }
 
-impl State {
-    /// Cost of being slow or failing, which fades so that an instance that recovered is found
-    /// again.
+impl InstanceState {
+    /// Cost of being slow or failing. It decays so that an instance that recovered is used again.
     fn health_cost(&self, now: Moment) -> f64 {
-        let faded = now.since(self.health_at).as_secs_f64() / HEALTH_FADES.as_secs_f64();
-        let slow = (self.health.latency_ratio - SLOW_FROM).max(0.0) * SLOW_SLOPE;
-        (slow + self.health.failure_rate * FAILING_SLOPE) * (1.0 - faded).max(0.0)
+        let decayed = now.since(self.health_at).as_secs_f64() / HEALTH_DECAY.as_secs_f64();
+        let slow = (self.health.latency_ratio - SLOW_THRESHOLD).max(0.0) * SLOW_SLOPE;
+        (slow + self.health.failure_rate * FAILING_SLOPE) * (1.0 - decayed).max(0.0)
     }
 
-    /// Cost of a gate that does not say that it lives.
+    /// Cost of a gate that doesn't report progress.
     fn silence_cost(&self, now: Moment) -> f64 {
-        let is_silent = self.silent_at.is_some_and(|at| now.since(at) < SILENCE_LIFETIME);
+        let is_silent = self.silent_at.is_some_and(|at| now.since(at) < SILENCE_DURATION);
         if is_silent { SILENT_COST } else { 0.0 }
     }
 
-    /// Cost of an instance that takes no more requests for now.
-    fn away_cost(&self, now: Moment) -> f64 {
-        if self.is_rate_limited(now) { AWAY_COST } else { 0.0 }
+    /// Cost of an instance that accepts no more requests for now.
+    fn rate_limited_cost(&self, now: Moment) -> f64 {
+        if self.is_rate_limited(now) { RATE_LIMITED_COST } else { 0.0 }
     }
 
     fn is_rate_limited(&self, now: Moment) -> bool {
-        self.away_until.is_some_and(|until| now < until)
+        self.rate_limited_until.is_some_and(|until| now < until)
     }
 
-    /// Occupancy as last reported, unless that is too long ago.
+    /// Occupancy as last reported, unless the report is too old.
     fn fresh_report(&self, now: Moment) -> Option<f64> {
         let fresh = self.reported_at.is_some_and(|at| now.since(at) <= REPORT_LIFETIME);
         fresh.then_some(self.reported_occupancy)
     }
 }
 
-/// Two different members of `pool`, drawn at random; fewer when there are fewer.
-fn two_of(pool: &[usize], random: &mut impl Rng) -> Vec<usize> {
+/// Two different members of `pool`, chosen at random; fewer if there are fewer.
+fn sample_two(pool: &[usize], random: &mut impl Rng) -> Vec<usize> {
     pool.sample(random, 2).copied().collect()
 }
 
-/// Own observations of all instances that this node calls.
+/// Load and health of all instances that this node calls, as observed by the node or reported by gates.
 #[derive(Debug, Default)]
 pub struct Balancer {
-    states: HashMap<InstanceName, State>,
+    states: HashMap<InstanceName, InstanceState>,
 }
 
 impl Balancer {
-    /// Chooses an instance among `candidates`, none of `avoid` unless nothing else is left.
+    /// Chooses an instance from `candidates`; one of `avoid` only if no other is left.
     /// `slots` is the number of slots of one instance.
     pub fn choose(
         &mut self,
@@ -158,16 +156,16 @@
         let preferred: Vec<usize> =
             (0..candidates.len()).filter(|&index| !avoid.contains(&candidates[index].instance)).collect();
         let pool = if preferred.is_empty() { (0..candidates.len()).collect() } else { preferred };
-        let pool = self.without_ejected(candidates, pool, now);
+        let pool = self.remove_ejected(candidates, pool, now);
         let (near, far): (Vec<usize>, Vec<usize>) =
             pool.into_iter().partition(|&index| candidates[index].same_zone);
-        let mut drawn = two_of(&near, random);
-        drawn.extend(two_of(&far, random));
-        let costs = drawn.into_iter().map(|index| (index, self.cost(&candidates[index], slots, now)));
+        let mut sampled = sample_two(&near, random);
+        sampled.extend(sample_two(&far, random));
+        let costs = sampled.into_iter().map(|index| (index, self.cost(&candidates[index], slots, now)));
         costs.min_by(|left, right| left.1.total_cmp(&right.1)).map(|(index, _)| index)
     }
 
-    /// True when some candidate that was not tried is known to have free slots.
+    /// True if some candidate that was not tried is known to have free slots.
     pub fn has_free_alternative(&self, candidates: &[Candidate], tried: &[InstanceName], now: Moment) -> bool {
         candidates.iter().filter(|candidate| !tried.contains(&candidate.instance)).any(|candidate| {
             let state = self.states.get(&candidate.instance);
@@ -175,8 +173,8 @@
         })
     }
 
-    /// Ejected instances stay out only while at least half of the pool remains.
-    fn without_ejected(&self, candidates: &[Candidate], pool: Vec<usize>, now: Moment) -> Vec<usize> {
+    /// Removes ejected instances from `pool`, unless fewer than half of it would remain.
+    fn remove_ejected(&self, candidates: &[Candidate], pool: Vec<usize>, now: Moment) -> Vec<usize> {
         let healthy: Vec<usize> =
             pool.iter().copied().filter(|&index| !self.is_ejected(&candidates[index].instance, now)).collect();
         if healthy.len() * 2 >= pool.len() && !healthy.is_empty() { healthy } else { pool }
@@ -203,17 +201,17 @@
         distance
             + state.silence_cost(now)
             + state.health_cost(now)
-            + state.away_cost(now)
+            + state.rate_limited_cost(now)
             + FREE_SLOPE * occupancy
             + FULL_SLOPE * (occupancy - NEARLY_FULL).max(0.0)
     }
 
-    /// Notes that a call was sent to `instance`.
+    /// Records that a call was sent to `instance`.
     pub fn on_send(&mut self, instance: &InstanceName) {
         self.states.entry(instance.clone()).or_default().outstanding += 1;
     }
 
-    /// Notes that a call ended, however it did.
+    /// Records the end of a call, whatever its result.
     pub fn on_end(&mut self, instance: &InstanceName, observation: Observation, now: Moment) {
         let state = self.states.entry(instance.clone()).or_default();
         state.outstanding = state.outstanding.saturating_sub(1);
@@ -226,7 +224,7 @@
             Observation::Failed => {
                 state.failures_in_a_row += 1;
                 if state.failures_in_a_row >= FAILURES_TO_EJECT {
-                    let doublings = state.ejections.min(MOST_DOUBLINGS);
+                    let doublings = state.ejections.min(MAX_DOUBLINGS);
                     state.ejected_until = Some(now + FIRST_EJECTION * (1 << doublings));
                     state.ejections += 1;
                     state.failures_in_a_row = 0;
@@ -235,23 +233,23 @@
         }
     }
 
-    /// Notes that the gate of `instance` asks to be offered nothing for `span`.
+    /// Records that the gate of `instance` asks to be offered no calls for `span`.
     pub fn on_rate_limited(&mut self, instance: &InstanceName, span: Duration, now: Moment) {
         let until = (!span.is_zero()).then(|| now + span);
-        self.states.entry(instance.clone()).or_default().away_until = until;
+        self.states.entry(instance.clone()).or_default().rate_limited_until = until;
     }
 
-    /// True while the gate of `instance` is to be offered nothing, if there is another way.
+    /// True while the gate of `instance` should be offered no calls if there is an alternative.
     pub fn is_rate_limited(&self, instance: &InstanceName, now: Moment) -> bool {
         self.states.get(instance).is_some_and(|state| state.is_rate_limited(now))
     }
 
-    /// Notes that the gate of `instance` should have said that it lives, and did not.
+    /// Records that the gate of `instance` did not report progress in time.
     pub fn on_silence(&mut self, instance: &InstanceName, now: Moment) {
         self.states.entry(instance.clone()).or_default().silent_at = Some(now);
     }
 
-    /// Notes the occupancy that the gate reported with a reply.
+    /// Records the occupancy that the gate reported with a reply.
     pub fn on_report(&mut self, instance: &InstanceName, occupancy: f64, now: Moment) {
         let state = self.states.entry(instance.clone()).or_default();
         state.reported_occupancy = occupancy;
@@ -259,21 +257,21 @@
         state.reported_at = Some(now);
     }
 
-    /// What the gate of `instance` last reported.
+    /// The last report of the gate of `instance`.
     pub fn reported(&self, instance: &InstanceName, now: Moment) -> Report {
         let state = self.states.get(instance);
         let age = state.and_then(|state| state.reported_at).map_or(Duration::MAX, |at| now.since(at));
         Report { occupancy: state.map_or(0.0, |state| state.reported_occupancy), age }
     }
 
-    /// Notes how an instance fares, as its gate reported.
+    /// Records the health of an instance as reported by its gate.
     pub fn on_health(&mut self, instance: &InstanceName, health: Health, now: Moment) {
         let state = self.states.entry(instance.clone()).or_default();
         state.health = health;
         state.health_at = now;
     }
 
-    /// Forgets instances that are no longer listed.
+    /// Removes instances that are no longer listed.
     pub fn retain(&mut self, listed: impl Fn(&InstanceName) -> bool) {
         self.states.retain(|instance, _| listed(instance));
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which instance gets a call, and which node is responsible for an instance.
+//! Chooses the instance that gets a call and the node that is responsible for an instance.
 //!
 //! - [`rendezvous`]: highest-random-weight hashing over live members.
-//! - [`balance`]: power of two choices over own observations, nearness and ejection.
+//! - [`balance`]: load balancing by power of two choices, with zone preference and outlier ejection.
 
 pub mod balance;
 pub mod rendezvous;
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -12,7 +12,7 @@
     u64::from_be_bytes(first)
 }
 
-/// The member responsible for `key`; the same on every node with the same members.
+/// The member responsible for `key`; the same on every node that has the same members.
 pub fn owner<'a, T>(
     key: &str,
     members: impl IntoIterator<Item = &'a T>,
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which instance and which gate.
+//! Choice of the instance for a call and of the node responsible for an instance.
 
 use olivegate_routing::rendezvous::owner;
 use olivegate_routing::{Balancer, Candidate, Observation};
@@ -23,16 +23,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// When a member goes, only its own keys move.
+    /// When a member is removed, only its own keys move.
     #[test]
-    fn a_lost_member_moves_only_its_own_keys(members in 2..20_usize, lost in any::<prop::sample::Index>()) {
+    fn a_removed_member_moves_only_its_own_keys(members in 2..20_usize, removed in any::<prop::sample::Index>()) {
         let names: Vec<String> = (0..members).map(|index| format!("node-{index}")).collect();
-        let lost = lost.get(&names).clone();
-        let rest: Vec<String> = names.iter().filter(|name| **name != lost).cloned().collect();
+        let removed = removed.get(&names).clone();
+        let rest: Vec<String> = names.iter().filter(|name| **name != removed).cloned().collect();
         for key in 0..50 {
             let key = format!("instance-{key}");
             let before = owner(&key, &names, |name| name).unwrap();
-            if *before != lost {
+            if *before != removed {
                 prop_assert_eq!(owner(&key, &rest, |name| name).unwrap(), before);
             }
         }
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -1,4 +1,4 @@
-//! Instances that are slow, fail or whose gates are silent are avoided, and found again.
+//! Instances that are slow or failing or whose gates are silent are avoided, and used again later.
 
 use olivegate_routing::balance::{Balancer, Candidate, Health};
 use olivegate_types::{InstanceName, Moment};
@@ -24,18 +24,18 @@
 }
 
 #[rstest]
-#[case::well(Health { latency_ratio: 0.3, failure_rate: 0.02 }, "near")]
+#[case::healthy(Health { latency_ratio: 0.3, failure_rate: 0.02 }, "near")]
 #[case::slow(Health { latency_ratio: 1.5, failure_rate: 0.0 }, "far")]
 #[case::failing(Health { latency_ratio: 0.3, failure_rate: 0.4 }, "far")]
-fn the_near_instance_is_left_only_when_it_fares_badly(#[case] health: Health, #[case] expected: &str) {
+fn the_near_instance_is_avoided_only_if_it_is_slow_or_failing(#[case] health: Health, #[case] expected: &str) {
     let mut balancer = Balancer::default();
     balancer.on_health(&InstanceName::new("near"), health, at(1_000));
     assert_eq!(chosen(&mut balancer, at(1_100)), expected);
-    assert_eq!(chosen(&mut balancer, at(6_000)), "near", "what is long ago no longer counts");
+    assert_eq!(chosen(&mut balancer, at(6_000)), "near", "an old report no longer counts");
 }
 
 #[rstest]
-fn a_silent_gate_is_avoided_until_it_speaks_or_time_has_passed() {
+fn a_silent_gate_is_avoided_until_it_reports_or_time_has_passed() {
     let mut balancer = Balancer::default();
     let near = InstanceName::new("near");
     balancer.on_silence(&near, at(1_000));
