--- a/crates/types/src/context.rs
+++ b/crates/types/src/context.rs
@@ -1,4 +1,4 @@
-//! The request context: made at the root, carried along the whole call chain.
+//! The request context, which is created at the root and propagated along the whole call chain.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,15 +9,15 @@
 
 use crate::{DeploymentKey, GroupName, Importance, KindName, NodeName, RequestId, SheddingRank};
 
-/// Longest accepted header text, in bytes.
+/// Largest accepted length of the header value, in bytes.
 pub const MAX_HEADER_LENGTH: usize = 2048;
 
-/// Decisions that were made at the root and bind every hop.
+/// Properties of a root request and decisions about it, which apply at every hop.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RequestContext {
     /// The root request.
     pub request: RequestId,
-    /// Node that holds the request's retry allowance.
+    /// Node that keeps the request's retry allowance.
     pub root_node: NodeName,
     /// Control address of that node.
     pub root_control: SocketAddr,
@@ -25,30 +25,30 @@
     pub group: GroupName,
     /// Kind of the root request.
     pub root_kind: KindName,
-    /// Importance of the root request; calls on its behalf inherit it.
+    /// Importance of the root request, inherited by the calls on its behalf.
     pub importance: Importance,
     /// Position in the shedding order of the class.
     pub rank: SheddingRank,
-    /// Deadline in milliseconds of Unix time. Only used for early refusal at
-    /// deeper hops; the root node enforces the deadline on its own clock.
+    /// Deadline in milliseconds of Unix time. Deeper hops use it only to refuse early; the root node enforces
+    /// the deadline on its own clock.
     pub deadline_unix_ms: u64,
-    /// Number of hops in front of this call; 0 at the root.
+    /// Number of hops before this call; 0 at the root.
     pub hop: u8,
-    /// Version of the bundle that governs the request.
+    /// Version of the bundle that applies to the request.
     pub bundle_version: u64,
 }
 
-/// Why a context header was not accepted.
+/// Why a context header was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContextError {
     /// Longer than [`MAX_HEADER_LENGTH`].
     TooLong,
     /// Not base64.
     Encoding,
-    /// Not sealed with this deployment's key.
+    /// Not authenticated with this deployment's key.
     Authentication,
-    /// Authenticated, but of another version's shape.
-    Shape,
+    /// Authenticated, but in the format of another version.
+    Format,
 }
 
 impl fmt::Display for ContextError {
@@ -57,7 +57,7 @@
             ContextError::TooLong => "context header is too long",
             ContextError::Encoding => "context header is not base64",
             ContextError::Authentication => "context header was not made by a node of this deployment",
-            ContextError::Shape => "context header has an unknown shape",
+            ContextError::Format => "context header has an unknown shape",
         })
     }
 }
@@ -65,23 +65,23 @@
 impl std::error::Error for ContextError {}
 
 impl RequestContext {
-    /// The header text: base64 of the sealed borsh form.
+    /// The header value: base64 of the borsh encoding and its authentication tag.
     pub fn to_header(&self, key: &DeploymentKey) -> String {
         let content = borsh::to_vec(self).unwrap_or_default();
         URL_SAFE_NO_PAD.encode(key.seal(content))
     }
 
-    /// Reads and authenticates a header text.
+    /// Authenticates and decodes a header value.
     pub fn from_header(text: &str, key: &DeploymentKey) -> Result<Self, ContextError> {
         if text.len() > MAX_HEADER_LENGTH {
             return Err(ContextError::TooLong);
         }
         let sealed = URL_SAFE_NO_PAD.decode(text).map_err(|_| ContextError::Encoding)?;
         let content = key.open(&sealed).ok_or(ContextError::Authentication)?;
-        borsh::from_slice(content).map_err(|_| ContextError::Shape)
+        borsh::from_slice(content).map_err(|_| ContextError::Format)
     }
 
-    /// The context of a call made on behalf of this one.
+    /// The context of a call that is made on behalf of this one.
     pub fn child(&self) -> Self {
         RequestContext { hop: self.hop.saturating_add(1), ..self.clone() }
     }
--- a/crates/types/src/id.rs
+++ b/crates/types/src/id.rs
@@ -13,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name; checking its form is the settings' and bundle's task.
+            /// Wraps a name without validating it; settings and bundles check names when they are read.
             pub fn new(name: impl AsRef<str>) -> Self {
                 Self(Arc::from(name.as_ref()))
             }
@@ -59,7 +59,7 @@
     ZoneName
 );
 name_type!(
-    /// Name of a service of the call graph.
+    /// Name of a service in the call graph.
     ServiceName
 );
 name_type!(
@@ -71,7 +71,7 @@
     GroupName
 );
 name_type!(
-    /// Name of a tenant: callers that share keys and a quota.
+    /// Name of a tenant: a set of callers that share API keys and a quota.
     TenantName
 );
 name_type!(
@@ -79,7 +79,7 @@
     KindName
 );
 
-/// Identifies one root request through its whole call chain.
+/// Identifies a root request in its whole call chain.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct RequestId(pub u128);
 
--- a/crates/types/src/key.rs
+++ b/crates/types/src/key.rs
@@ -1,22 +1,22 @@
-//! The deployment's shared key: authenticates contexts and control messages.
+//! The shared key of a deployment, which authenticates request contexts and control messages.
 
-/// Length of an authentication tag in bytes.
+/// Length of an authentication tag, in bytes.
 pub const TAG_LENGTH: usize = 16;
 
 /// Secret shared by the nodes of one deployment.
 ///
-/// It proves that a context header, datagram or control frame was made by a node
-/// of the same deployment. It does not encrypt and does not stop replays.
+/// It proves that a context header, datagram or control frame was created by a node of the same deployment.
+/// It provides neither encryption nor protection against replays.
 #[derive(Clone)]
 pub struct DeploymentKey([u8; 32]);
 
 impl DeploymentKey {
-    /// Derives the key from the settings' secret text.
+    /// Derives the key from the secret in the settings.
     pub fn from_secret(secret: &str) -> Self {
         DeploymentKey(blake3::derive_key("olivegate deployment key v1", secret.as_bytes()))
     }
 
-    /// Tag of `bytes` under this key.
+    /// The authentication tag of `bytes` under this key.
     pub fn tag(&self, bytes: &[u8]) -> [u8; TAG_LENGTH] {
         let hash = blake3::keyed_hash(&self.0, bytes);
         let mut tag = [0; TAG_LENGTH];
@@ -24,14 +24,14 @@
         tag
     }
 
-    /// Appends the tag of the current content to `bytes`.
+    /// Appends the tag of `bytes` to `bytes`.
     pub fn seal(&self, mut bytes: Vec<u8>) -> Vec<u8> {
         let tag = self.tag(&bytes);
         bytes.extend_from_slice(&tag);
         bytes
     }
 
-    /// The content in front of a valid tag, or `None` when the tag is missing or wrong.
+    /// The content before the tag; `None` if the tag is missing or wrong.
     pub fn open<'a>(&self, sealed: &'a [u8]) -> Option<&'a [u8]> {
         let split = sealed.len().checked_sub(TAG_LENGTH)?;
         let (content, tag) = sealed.split_at(split);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,8 @@
 //! Identifiers, time, request context and outcomes shared by every olivegate crate.
 //!
-//! Nothing here performs I/O. Types that cross the wire between nodes derive
-//! `borsh`; the request context also has a text form that travels in a header
-//! and is authenticated with the deployment's key (see [`context`]).
+//! Nothing here performs I/O. Types that are sent between nodes derive the `borsh` traits. The request
+//! context also has a text form, which is sent in a header and authenticated with the deployment's key (see
+//! [`context`]).
 
 pub mod context;
 pub mod header;
@@ -17,20 +17,20 @@
 pub use outcome::{Outcome, Refusal, RefusalReason};
 pub use time::Moment;
 
-/// How important a request is; larger is shed later.
+/// Importance of a request; a larger one is shed later.
 ///
-/// Levels run from 0 to [`Importance::PROTECTED`]. The protected level is shed
-/// last and is not bound by the bundle's queue-wait objective, only by its deadline.
+/// Values range from 0 to [`Importance::PROTECTED`]. Requests of the protected importance are shed last and
+/// are not subject to the bundle's queue-wait objective, only to their deadline.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, borsh::BorshSerialize, borsh::BorshDeserialize,
 )]
 pub struct Importance(pub u8);
 
 impl Importance {
-    /// The highest level: reservations and checkouts.
+    /// The highest importance, for reservations and checkouts.
     pub const PROTECTED: Importance = Importance(3);
 
-    /// True at the highest level.
+    /// True for the highest importance.
     pub fn is_protected(self) -> bool {
         self >= Self::PROTECTED
     }
@@ -38,16 +38,15 @@
 
 /// Position of a request in the shedding order of its class, uniform over `u16`.
 ///
-/// The rank is drawn once at the root and is the same at each hop, so that one
-/// request is not admitted by one service and refused by the next.
-/// Requests with larger ranks are shed first.
+/// The rank is drawn once at the root and is the same at each hop, so that a request is not admitted by one
+/// service and refused by the next. Requests with larger ranks are shed first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, borsh::BorshSerialize, borsh::BorshDeserialize,
 )]
 pub struct SheddingRank(pub u16);
 
 impl SheddingRank {
-    /// The rank as a fraction in `[0, 1)`, to compare with an admitted fraction.
+    /// The rank as a fraction in `[0, 1)`, for comparison with an admitted fraction.
     pub fn fraction(self) -> f64 {
         f64::from(self.0) / 65_536.0
     }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,14 +1,14 @@
-//! What became of a request, and why one was refused.
+//! Outcomes of requests and reasons for refusals.
 
 use std::fmt;
 use std::time::Duration;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// What a caller is told about its request.
+/// Outcome of a request as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub enum Outcome {
-    /// A back end gave its answer.
+    /// A back end answered.
     Ok,
     /// No back end started the request.
     NotRun,
@@ -19,7 +19,7 @@
 }
 
 impl Outcome {
-    /// Text of the outcome header.
+    /// The value of the outcome header.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Ok => "ok",
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Reads the text of the outcome header.
+    /// Parses the value of the outcome header.
     pub fn parse(text: &str) -> Option<Self> {
         match text {
             "ok" => Some(Outcome::Ok),
@@ -50,48 +50,48 @@
 /// Why a request was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, BorshSerialize, BorshDeserialize)]
 pub enum RefusalReason {
-    /// The class's admission level is below the request's shedding rank.
+    /// The admission level of the class is not above the request's shedding rank.
     AdmissionLevel,
     /// The predicted wait is longer than the objective or the deadline allows.
     PredictedWait,
-    /// The wait in the queue lasted too long.
+    /// The request waited in the queue for too long.
     QueueTimeout,
     /// A request of a higher class took its place in a full queue.
     Displaced,
     /// No live instance of the service is known.
     NoInstance,
-    /// The instance is leaving.
+    /// The instance is about to stop.
     InstanceLeaving,
     /// The instance cannot be reached.
     InstanceUnreachable,
-    /// The back end refused before starting.
+    /// The back end refused the request before starting it.
     BackEndRefused,
     /// The node responsible for the instance cannot be reached.
     GateUnreachable,
-    /// No majority of seats granted the claim.
+    /// No majority of the seats granted the at-most-once claim.
     ClaimUnavailable,
     /// The deadline has passed or cannot be met.
     DeadlineExceeded,
-    /// The chain is longer than the bundle allows.
+    /// The call chain is longer than the bundle allows.
     TooManyHops,
-    /// The node has no bundle in force, is stopping, or its view is stale.
+    /// The node has no bundle in force, is stopping, or its view of the cluster is stale.
     NodeNotReady,
-    /// The node's process does not keep up with its work.
+    /// The node's process does not keep up with its load.
     NodeOverloaded,
-    /// It would be a repeat, and the budget of repeats is used up.
+    /// The request would be a retry, and the retry budget is used up.
     RepeatBudget,
-    /// Its key may have been withdrawn: the configuration is not proven to be young enough.
+    /// The caller's API key may have been withdrawn: the configuration is not proven to be recent enough.
     KeysUnproven,
-    /// Instances ended with the same content at work, and it may run only alone.
+    /// Instances terminated while they ran the same content, which may therefore run only in isolation.
     SuspectWaits,
-    /// Instances ended with the same content at work: it is not run.
+    /// Instances terminated while they ran the same content, which is therefore not run.
     Quarantined,
-    /// The instance takes no more requests a second than it gets.
+    /// The instance already gets as many requests per second as it accepts.
     RateLimited,
 }
 
 impl RefusalReason {
-    /// All reasons.
+    /// All reasons, in declaration order.
     pub const ALL: [RefusalReason; 19] = [
         RefusalReason::AdmissionLevel,
         RefusalReason::PredictedWait,
@@ -114,7 +114,7 @@
         RefusalReason::RateLimited,
     ];
 
-    /// Text of the reason header and of log lines.
+    /// The text in the reason header and in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalReason::AdmissionLevel => "admission-level",
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Reads the text of the reason header.
+    /// Parses the value of the reason header.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|reason| reason.as_str() == text)
     }
 
-    /// True when there was no room for the request: where fewer requests begin, more end well.
+    /// True if there was no capacity for the request, so that more requests succeed if fewer are admitted.
     pub fn is_capacity_shortage(self) -> bool {
         matches!(
             self,
@@ -157,8 +157,8 @@
         )
     }
 
-    /// True when another instance may well take the request: the cause is the
-    /// instance or its gate, not a lack of capacity.
+    /// True if another instance may be able to serve the request: the cause is the instance or its gate, not
+    /// a lack of capacity.
     pub fn is_local_to_instance(self) -> bool {
         matches!(
             self,
@@ -176,17 +176,17 @@
     }
 }
 
-/// A request that was not run, with the time after which the caller may come back.
+/// Refusal of a request that was not run, with the delay after which the caller may retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Why the request was refused.
     pub reason: RefusalReason,
-    /// When to come back, before jitter.
+    /// Delay after which the caller may retry, before jitter.
     pub retry_after: Duration,
 }
 
 impl Refusal {
-    /// A refusal for `reason` after which the caller may come back in `retry_after`.
+    /// A refusal for `reason` after which the caller may retry in `retry_after`.
     pub fn new(reason: RefusalReason, retry_after: Duration) -> Self {
         Refusal { reason, retry_after }
     }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,16 +1,16 @@
-//! Time as an argument: a monotonic point that pure cores are given.
+//! Points in monotonic time, which are passed as arguments to code that performs no I/O.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A point in monotonic time, counted from an arbitrary start that is one for all of a process.
+/// A point in monotonic time, counted from an arbitrary start that is the same in the whole process.
 ///
-/// Cores never read a clock; the I/O around them passes the current `Moment`.
+/// Algorithms never read a clock; the I/O code that calls them passes the current `Moment`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Moment(Duration);
 
 impl Moment {
-    /// The start of that time.
+    /// The start of the time scale.
     pub const START: Moment = Moment(Duration::ZERO);
 
     /// The point `elapsed` after the start.
@@ -28,12 +28,12 @@
         self.0
     }
 
-    /// Time from `earlier` to `self`; zero when `earlier` is later.
+    /// Time from `earlier` to `self`; zero if `earlier` is later.
     pub fn since(self, earlier: Moment) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// `self - span`, not before the start.
+    /// `self - span`, but not before the start.
     pub fn saturating_sub(self, span: Duration) -> Moment {
         Moment(self.0.saturating_sub(span))
     }
--- a/crates/types/tests/context.rs
+++ b/crates/types/tests/context.rs
@@ -1,4 +1,4 @@
-//! The request context survives its header, and nobody else can make one.
+//! A request context is unchanged after encoding in a header, and headers not made with the key are rejected.
 
 use olivegate_types::context::MAX_HEADER_LENGTH;
 use olivegate_types::{
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn header_gives_the_same_context_back() {
+fn a_header_decodes_to_the_same_context() {
     let key = DeploymentKey::from_secret("a secret of this deployment");
     let header = context().to_header(&key);
     assert_eq!(RequestContext::from_header(&header, &key), Ok(context()));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_call_on_behalf_keeps_everything_but_the_hop() {
+fn a_child_context_differs_only_in_its_hop() {
     let child = context().child();
     assert_eq!(child.hop, 3);
     assert_eq!(RequestContext { hop: 2, ..child }, context());
