--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,4 @@
-//! The clocks of a process, read only by I/O code and passed to decisions.
+//! Clocks of the process. Only I/O code reads them and passes the time to the code that makes decisions.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -13,19 +13,20 @@
     Moment::after_start(Duration::new(seconds, nanoseconds))
 }
 
-/// Now, since the machine's start, in time that never goes back and counts on while the machine is
-/// suspended: what is dated by it is never believed for longer than it is true.
+/// Current time since the machine started, on the clock that never goes back and continues while the machine
+/// is suspended (`CLOCK_BOOTTIME`), so that suspension doesn't extend the validity of cached state.
 pub fn now() -> Moment {
     moment_of(ClockId::Boottime)
 }
 
-/// Now, since the machine's start, in time that stands still while the machine is suspended, as the
-/// runtime's timers do.
+/// Current time since the machine started, on the clock that stops while the machine is suspended
+/// (`CLOCK_MONOTONIC`), as the runtime's timers do.
 pub fn monotonic_now() -> Moment {
     moment_of(ClockId::Monotonic)
 }
 
-/// The runtime's instant at which `moment` comes, for timers, unless the machine is suspended before.
+/// The runtime's instant that corresponds to `moment`, for timers. It is too late if the machine is suspended
+/// before then.
 pub fn instant_of(moment: Moment) -> Instant {
     let now = now();
     let instant = Instant::now();
@@ -35,7 +36,7 @@
     instant.checked_sub(now.since(moment)).unwrap_or(instant)
 }
 
-/// Now, in milliseconds of Unix time.
+/// Current Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     since.as_millis() as u64
