--- a/crates/checked/src/lib.rs
+++ b/crates/checked/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads a TOML table field by field and reports every mistake at once.
+//! Reads a TOML table field by field and reports all errors at once.
 //!
-//! Use it for files that an operator writes: each getter records a [`FieldError`]
-//! (field, value, reason) and returns a default, so that reading goes on; unknown
-//! fields are mistakes. [`TableReader::finish`] fails when anything was recorded.
+//! Use it for files that an operator writes: on an error each getter records a [`FieldError`] (field, value,
+//! reason) and returns a default, so that reading continues. Unknown fields are errors.
+//! [`TableReader::finish`] fails if any error was recorded.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,12 +10,12 @@
 
 pub use toml::{Table, Value};
 
-/// One mistake in a file.
+/// An invalid, missing or unknown field of a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FieldError {
     /// Path of the field, such as `kinds[2].importance`.
     pub field: String,
-    /// The value found, as TOML text; empty when the field is missing.
+    /// The value found, as TOML text; empty if the field is missing.
     pub value: String,
     /// What is wrong with it.
     pub reason: String,
@@ -27,17 +27,17 @@
     }
 }
 
-/// All mistakes of one file.
+/// All errors in one file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FieldErrors(pub Vec<FieldError>);
 
 impl fmt::Display for FieldErrors {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, mistake) in self.0.iter().enumerate() {
+        for (index, error) in self.0.iter().enumerate() {
             if index > 0 {
                 formatter.write_str("\n")?;
             }
-            write!(formatter, "{mistake}")?;
+            write!(formatter, "{error}")?;
         }
         Ok(())
     }
@@ -51,11 +51,11 @@
     table: Table,
     path: String,
     known: BTreeSet<String>,
-    mistakes: Vec<FieldError>,
+    errors: Vec<FieldError>,
 }
 
 impl TableReader {
-    /// Parses TOML text. A syntax error is a single mistake of the whole file.
+    /// Parses TOML text. A syntax error is a single error of the whole file.
     pub fn parse(text: &str) -> Result<Self, FieldErrors> {
         let table = text.parse::<Table>().map_err(|error| {
             FieldErrors(vec![FieldError {
@@ -67,13 +67,13 @@
         Ok(Self::from_table(table))
     }
 
-    /// Reads a parsed table.
+    /// A reader of a parsed table.
     pub fn from_table(table: Table) -> Self {
-        Self::of(table, String::new())
+        Self::new(table, String::new())
     }
 
-    fn of(table: Table, path: String) -> Self {
-        TableReader { table, path, known: BTreeSet::new(), mistakes: Vec::new() }
+    fn new(table: Table, path: String) -> Self {
+        TableReader { table, path, known: BTreeSet::new(), errors: Vec::new() }
     }
 
     fn field_path(&self, field: &str) -> String {
@@ -85,32 +85,32 @@
         self.table.get(field).cloned()
     }
 
-    /// Records a mistake in `field` of this table.
+    /// Records an error in `field` of this table.
     pub fn add_error(&mut self, field: &str, reason: impl Into<String>) {
         let value = self.table.get(field).map(Value::to_string).unwrap_or_default();
         let field = self.field_path(field);
-        self.mistakes.push(FieldError { field, value, reason: reason.into() });
+        self.errors.push(FieldError { field, value, reason: reason.into() });
     }
 
-    /// True when the field is present.
+    /// True if the field is present.
     pub fn has(&self, field: &str) -> bool {
         self.table.contains_key(field)
     }
 
-    /// Required text that is not empty.
+    /// Required non-empty string.
     pub fn text(&mut self, field: &str) -> String {
         match self.take(field) {
             Some(Value::String(text)) if !text.is_empty() => text,
-            Some(_) => self.wrong(field, "expected text that is not empty"),
-            None => self.wrong(field, "is missing"),
+            Some(_) => self.default_with_error(field, "expected a non-empty string"),
+            None => self.default_with_error(field, "is missing"),
         }
     }
 
-    /// Optional text.
+    /// Optional string.
     pub fn text_or(&mut self, field: &str, default: &str) -> String {
         match self.take(field) {
             Some(Value::String(text)) => text,
-            Some(_) => self.wrong(field, "expected text"),
+            Some(_) => self.default_with_error(field, "expected a string"),
             None => default.to_string(),
         }
     }
@@ -125,15 +125,15 @@
         text
     }
 
-    /// Required whole number within `range`.
+    /// Required integer within `range`.
     pub fn integer(&mut self, field: &str, range: std::ops::RangeInclusive<u64>) -> u64 {
         match self.take(field) {
             Some(value) => self.integer_of(field, value, range),
-            None => self.wrong(field, "is missing"),
+            None => self.default_with_error(field, "is missing"),
         }
     }
 
-    /// Optional whole number within `range`.
+    /// Optional integer within `range`.
     pub fn integer_or(&mut self, field: &str, default: u64, range: std::ops::RangeInclusive<u64>) -> u64 {
         match self.take(field) {
             Some(value) => self.integer_of(field, value, range),
@@ -146,8 +146,8 @@
         match number.filter(|number| range.contains(number)) {
             Some(number) => number,
             None => {
-                let reason = format!("expected a whole number from {} to {}", range.start(), range.end());
-                self.wrong(field, &reason)
+                let reason = format!("expected an integer from {} to {}", range.start(), range.end());
+                self.default_with_error(field, &reason)
             }
         }
     }
@@ -157,10 +157,10 @@
         Duration::from_millis(self.integer_or(field, default, range))
     }
 
-    /// Optional number, whole or not, within `range`.
+    /// Optional number within `range`, integer or floating point.
     pub fn number_or(&mut self, field: &str, default: f64, range: std::ops::RangeInclusive<f64>) -> f64 {
         let value = match self.take(field) {
-            Some(Value::Integer(whole)) => whole as f64,
+            Some(Value::Integer(integer)) => integer as f64,
             Some(Value::Float(number)) => number,
             Some(_) => f64::NAN,
             None => return default,
@@ -168,24 +168,24 @@
         if range.contains(&value) {
             return value;
         }
-        self.wrong(field, &format!("expected a number from {} to {}", range.start(), range.end()))
+        self.default_with_error(field, &format!("expected a number from {} to {}", range.start(), range.end()))
     }
 
-    /// Number within `range`, if it is there.
+    /// Optional number within `range`; `None` if absent.
     pub fn opt_number(&mut self, field: &str, range: std::ops::RangeInclusive<f64>) -> Option<f64> {
         if self.has(field) { Some(self.number_or(field, *range.start(), range)) } else { None }
     }
 
-    /// Optional truth value.
+    /// Optional boolean.
     pub fn boolean_or(&mut self, field: &str, default: bool) -> bool {
         match self.take(field) {
-            Some(Value::Boolean(truth)) => truth,
-            Some(_) => self.wrong(field, "expected true or false"),
+            Some(Value::Boolean(boolean)) => boolean,
+            Some(_) => self.default_with_error(field, "expected true or false"),
             None => default,
         }
     }
 
-    /// Required value parsed from text, such as an address.
+    /// Required value parsed from a string, such as an address.
     pub fn parsed<T: std::str::FromStr>(&mut self, field: &str, what: &str) -> Option<T> {
         let missing = !self.has(field);
         let text = self.text(field);
@@ -196,26 +196,26 @@
         parsed
     }
 
-    /// Optional value parsed from text.
+    /// Optional value parsed from a string; `None` if absent.
     pub fn opt_parsed<T: std::str::FromStr>(&mut self, field: &str, what: &str) -> Option<T> {
         if self.has(field) { self.parsed(field, what) } else { None }
     }
 
-    /// Optional list of texts.
+    /// Optional list of strings.
     pub fn texts(&mut self, field: &str) -> Vec<String> {
         let values = match self.take(field) {
             Some(Value::Array(values)) => values,
-            Some(_) => return self.wrong(field, "expected a list of texts"),
+            Some(_) => return self.default_with_error(field, "expected a list of strings"),
             None => return Vec::new(),
         };
         let texts: Vec<String> = values.iter().filter_map(Value::as_str).map(str::to_string).collect();
         if texts.len() != values.len() {
-            self.add_error(field, "expected a list of texts");
+            self.add_error(field, "expected a list of strings");
         }
         texts
     }
 
-    /// A sub-table read by `read`; an absent one is read as empty.
+    /// A sub-table that is read by `read`; an absent one is read as empty.
     pub fn section<T>(&mut self, field: &str, read: impl FnOnce(&mut TableReader) -> T) -> T {
         let table = match self.take(field) {
             Some(Value::Table(table)) => table,
@@ -229,11 +229,11 @@
         self.read_table(table, path, read)
     }
 
-    /// A list of tables, each read by `read`.
+    /// Optional list of tables, each read by `read`.
     pub fn sections<T>(&mut self, field: &str, mut read: impl FnMut(&mut TableReader) -> T) -> Vec<T> {
         let values = match self.take(field) {
             Some(Value::Array(values)) => values,
-            Some(_) => return self.wrong(field, "expected a list of tables"),
+            Some(_) => return self.default_with_error(field, "expected a list of tables"),
             None => return Vec::new(),
         };
         let mut items = Vec::new();
@@ -248,14 +248,14 @@
     }
 
     fn read_table<T>(&mut self, table: Table, path: String, read: impl FnOnce(&mut TableReader) -> T) -> T {
-        let mut reader = TableReader::of(table, path);
+        let mut reader = TableReader::new(table, path);
         let item = read(&mut reader);
         reader.report_unknown_fields();
-        self.mistakes.append(&mut reader.mistakes);
+        self.errors.append(&mut reader.errors);
         item
     }
 
-    fn wrong<T: Default>(&mut self, field: &str, reason: &str) -> T {
+    fn default_with_error<T: Default>(&mut self, field: &str, reason: &str) -> T {
         self.add_error(field, reason);
         T::default()
     }
@@ -267,9 +267,9 @@
         }
     }
 
-    /// Ends reading: fails with every mistake found, unknown fields included.
+    /// Finishes reading; fails with all errors found, including unknown fields.
     pub fn finish(mut self) -> Result<(), FieldErrors> {
         self.report_unknown_fields();
-        if self.mistakes.is_empty() { Ok(()) } else { Err(FieldErrors(self.mistakes)) }
+        if self.errors.is_empty() { Ok(()) } else { Err(FieldErrors(self.errors)) }
     }
 }
--- a/crates/checked/tests/reader.rs
+++ b/crates/checked/tests/reader.rs
@@ -1,18 +1,18 @@
-//! Every mistake of a file is named at once.
+//! All errors in a file are reported at once.
 
 use olivegate_checked::TableReader;
 
-fn fields(text: &str, read: impl FnOnce(&mut TableReader)) -> Vec<(String, String)> {
+fn field_errors(text: &str, read: impl FnOnce(&mut TableReader)) -> Vec<(String, String)> {
     let mut reader = TableReader::parse(text).unwrap();
     read(&mut reader);
-    let mistakes = reader.finish().unwrap_err().0;
-    mistakes.into_iter().map(|mistake| (mistake.field, mistake.reason)).collect()
+    let errors = reader.finish().unwrap_err().0;
+    errors.into_iter().map(|error| (error.field, error.reason)).collect()
 }
 
 #[test]
-fn all_mistakes_are_reported_with_their_paths() {
+fn all_errors_are_reported_with_their_paths() {
     let text = "port = 70000\nname = \"a b\"\n[deep]\ntimes = [1]\nextra = 1\n[[rows]]\nsize = \"x\"\n";
-    let found = fields(text, |reader| {
+    let found = field_errors(text, |reader| {
         reader.integer("port", 1..=65_535);
         reader.name("name");
         reader.text("absent");
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn syntax_errors_are_one_mistake() {
-    let mistakes = TableReader::parse("a = = 1").unwrap_err();
-    assert_eq!(mistakes.0.len(), 1);
-    assert_eq!(mistakes.0[0].field, "(file)");
+fn a_syntax_error_is_a_single_error() {
+    let errors = TableReader::parse("a = = 1").unwrap_err();
+    assert_eq!(errors.0.len(), 1);
+    assert_eq!(errors.0[0].field, "(file)");
 }
 
 #[test]
