--- a/crates/overload/src/admission/demand_levels.rs
+++ b/crates/overload/src/admission/demand_levels.rs
@@ -58,8 +58,8 @@
         DemandLevels { min_share: min_share.clamp(0.0, 1.0), classes: HashMap::new() }
     }
 
-    /// Records an arrival, refused or not, that asks for `slot_time` and whose root was admitted while the
-    /// fraction `admitted` of its class was.
+    /// Records an arrival, refused or not, that asks for `slot_time`. `admitted` is the admitted fraction of
+    /// its class when its root was admitted.
     pub fn record(&mut self, class: &ClassKey, slot_time: Duration, admitted: f64, now: Moment) {
         let demanded = slot_time.as_secs_f64() / admitted.clamp(MIN_ADMITTED, 1.0);
         match self.classes.get_mut(class) {
--- a/crates/overload/src/queue/mod.rs
+++ b/crates/overload/src/queue/mod.rs
@@ -52,7 +52,7 @@
     pub max_wait: Option<Duration>,
 }
 
-/// QueueSettings of a queue, from the bundle.
+/// Settings of a queue, from the bundle.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueSettings {
     /// Longest acceptable predicted wait below the protected importance.
