--- a/crates/quota/src/collector.rs
+++ b/crates/quota/src/collector.rs
@@ -14,8 +14,8 @@
 use crate::bucket::Bucket;
 use crate::ledger::{UsageLedger, UsageReport};
 use crate::limit::QuotaLimit;
+use crate::node::AdmittedFraction;
 use crate::senders::{Addition, Senders};
-use crate::share::AdmittedFraction;
 
 /// A part of the fleet this much smaller than the whole keeps the whole limit, so that machines
 /// that are down don't make the others refuse.
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -11,21 +11,21 @@
 //! - [`senders`]: the receiver's side of reports: what is new in each.
 //! - [`bucket`]: a tenant's tokens and demand, as a collector sees them.
 //! - [`collector`]: the collector of a zone.
-//! - [`fixed_part`]: what a node may let in that hears nobody.
-//! - [`share`]: the decision at a node.
+//! - [`static_share`]: what a node may let in that hears nobody.
+//! - [`node`]: the decision at a node.
 
 pub mod bucket;
 pub mod collector;
-pub mod fixed_part;
 pub mod ledger;
 pub mod limit;
+pub mod node;
 pub mod senders;
-pub mod share;
+pub mod static_share;
 
 pub use collector::Collector;
 pub use ledger::{UsageEntry, UsageLedger, UsageReport};
 pub use limit::{QuotaLimit, Tolerance};
-pub use share::{AdmittedFraction, NodeQuotas, QuotaExceeded};
+pub use node::{AdmittedFraction, NodeQuotas, QuotaExceeded};
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_types::TenantName;
--- a/crates/quota/src/share.rs
+++ b/crates/quota/src/node.rs
@@ -8,9 +8,9 @@
 
 use crate::TenantId;
 use crate::bucket::FIRST_PART;
-use crate::fixed_part::FixedPart;
 use crate::ledger::{UsageLedger, UsageReport};
 use crate::limit::QuotaLimit;
+use crate::static_share::FixedPart;
 
 /// What a collector said holds for this long; it answers several times in it.
 const TOLD_HOLDS: Duration = Duration::from_millis(1_000);
--- a/crates/quota/tests/emulation/leases.rs
+++ b/crates/quota/tests/emulation/leases.rs
@@ -6,7 +6,7 @@
 
 use olivegate_quota::QuotaLimit;
 use olivegate_quota::bucket::FIRST_PART;
-use olivegate_quota::fixed_part::FixedPart;
+use olivegate_quota::static_share::FixedPart;
 
 use crate::scenario::{Scenario, TOLERANCE, Way, moment};
 
--- a/crates/quota/tests/emulation/main.rs
+++ b/crates/quota/tests/emulation/main.rs
@@ -1,10 +1,10 @@
 //! A fleet of nodes on emulated time: three ways to keep quotas, under the same demand and the
 //! same cuts. `cargo test -p olivegate-quota --test emulation -- --nocapture` prints the table.
 
-mod fixed;
+mod collectors;
 mod leases;
 mod scenario;
-mod told;
+mod static_shares;
 
 use rstest::rstest;
 use scenario::{Cut, Scenario, play};
@@ -23,7 +23,7 @@
 #[case::lowered("lowered to a fifth", Scenario { lowered_ms: Some(8_000), ..SMALL }, 0.05)]
 #[case::large("1,000 nodes and tenants, hot", Scenario { nodes: 1_000, tenants: 1_000, hot: 7.5, seconds: 10, ..SMALL }, 0.05)]
 fn told_counts_keep_the_bound(#[case] name: &str, #[case] scenario: Scenario, #[case] most_lost: f64) {
-    let outcome = play(&scenario, &mut told::ToldCounts::new(&scenario));
+    let outcome = play(&scenario, &mut collectors::ToldCounts::new(&scenario));
     println!("{name:30} told counts  {outcome}");
     assert!(outcome.worst_window <= 1.0, "{outcome}");
     assert!(outcome.owed_refused <= most_lost, "{outcome}");
@@ -40,7 +40,7 @@
 #[case::lowered("lowered to a fifth", Scenario { lowered_ms: Some(8_000), ..SMALL })]
 #[case::large("1,000 nodes and tenants, hot", Scenario { nodes: 1_000, tenants: 1_000, hot: 7.5, seconds: 10, ..SMALL })]
 fn other_ways_for_comparison(#[case] name: &str, #[case] scenario: Scenario) {
-    let fixed = play(&scenario, &mut fixed::FixedParts::new(&scenario));
+    let fixed = play(&scenario, &mut static_shares::FixedParts::new(&scenario));
     println!("{name:30} fixed parts  {fixed}");
     assert!(fixed.worst_window <= 1.0, "{fixed}");
     let leases = play(&scenario, &mut leases::OwnerLeases::new(&scenario));
