--- a/crates/quota/src/collector.rs
+++ b/crates/quota/src/collector.rs
@@ -1,8 +1,8 @@
-//! The collector of a zone: counts what its nodes tell, hears the sums of other collectors, and
-//! says which part of a tenant's requests may be let in.
+//! The collector of a zone adds up the usage reports of its nodes and the zone totals of other
+//! collectors, and computes the fraction of each tenant's requests to admit.
 //!
-//! Where only a part of the fleet is heard, the limit is that part's: the parts of a fleet whose
-//! links are cut sum up to the whole limit.
+//! When only a fraction of the fleet reports, the limit is scaled down to that fraction, so that the
+//! sides of a network partition together stay within the whole limit.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -15,107 +15,109 @@
 use crate::ledger::{UsageLedger, UsageReport};
 use crate::limit::QuotaLimit;
 use crate::node::AdmittedFraction;
-use crate::senders::{Addition, Senders};
+use crate::senders::{Senders, UsageDelta};
 
-/// A part of the fleet this much smaller than the whole keeps the whole limit, so that machines
-/// that are down don't make the others refuse.
-const MISSING_TOLERATED: f64 = 1.05;
-/// Parts are worked out anew after this time.
-const PARTS_KEPT: Duration = Duration::from_millis(50);
-/// A part from here on is the whole.
-const WHOLE: f64 = 0.995;
+/// Factor on the fraction of the fleet that reports: with up to one of 21 nodes missing, the whole limit
+/// applies, so that a few machines that are down don't make the others refuse.
+const MISSING_NODES_TOLERANCE: f64 = 1.05;
+/// Time after which the fractions are computed again.
+const FRACTIONS_VALID_FOR: Duration = Duration::from_millis(50);
+/// A fraction of at least this is treated as 1 and left out of the answer.
+const UNLIMITED_FROM: f64 = 0.995;
 
-/// Limits of the tenants in force.
+/// Limits in force, by tenant.
 pub type Limits = HashMap<TenantId, QuotaLimit>;
 
-/// What the collector of one zone knows.
+/// State of the collector of one zone.
 #[derive(Debug)]
 pub struct Collector {
-    members: Senders<IpAddr>,
-    collectors: Senders<IpAddr>,
+    nodes: Senders<IpAddr>,
+    other_collectors: Senders<IpAddr>,
     buckets: HashMap<TenantId, Bucket>,
-    zone: UsageLedger,
-    parts: Vec<AdmittedFraction>,
-    parts_at: Option<Moment>,
-    /// Since when nodes report to it.
-    began: Option<Moment>,
+    zone_usage: UsageLedger,
+    fractions: Vec<AdmittedFraction>,
+    fractions_at: Option<Moment>,
+    /// Start of the current period in which nodes report to this collector.
+    counting_since: Option<Moment>,
 }
 
 impl Collector {
-    /// A collector that has heard nothing; no other one of this node has its generation.
+    /// A collector without any reports. `generation` must differ from that of earlier collectors of this
+    /// node.
     pub fn new(generation: u32) -> Self {
         Collector {
-            members: Senders::default(),
-            collectors: Senders::default(),
+            nodes: Senders::default(),
+            other_collectors: Senders::default(),
             buckets: HashMap::new(),
-            zone: UsageLedger::new(generation),
-            parts: Vec::new(),
-            parts_at: None,
-            began: None,
+            zone_usage: UsageLedger::new(generation),
+            fractions: Vec::new(),
+            fractions_at: None,
+            counting_since: None,
         }
     }
 
-    /// Takes the report of a node of the zone.
+    /// Adds the report of a node of this zone.
     pub fn on_node_report(&mut self, from: IpAddr, report: &UsageReport, limits: &Limits, now: Moment) {
         if !self.is_active(now) {
-            self.began = Some(now);
+            self.counting_since = Some(now);
         }
-        for addition in self.members.take(from, report, now) {
-            self.zone.add(addition.tenant, addition.asked, addition.admitted, now);
-            self.add(addition, limits, now);
+        for delta in self.nodes.apply(from, report, now) {
+            self.zone_usage.add(delta.tenant, delta.requested, delta.admitted, now);
+            self.add(delta, limits, now);
         }
     }
 
-    /// Takes the report of another collector.
+    /// Adds the report of the collector of another zone.
     pub fn on_collector_report(&mut self, from: IpAddr, report: &UsageReport, limits: &Limits, now: Moment) {
-        for addition in self.collectors.take(from, report, now) {
-            self.add(addition, limits, now);
+        for delta in self.other_collectors.apply(from, report, now) {
+            self.add(delta, limits, now);
         }
     }
 
-    fn add(&mut self, addition: Addition, limits: &Limits, now: Moment) {
-        if let Some(limit) = limits.get(&addition.tenant) {
-            let bucket = self.buckets.entry(addition.tenant).or_insert_with(|| Bucket::new(now));
-            bucket.add(addition.asked, addition.admitted, *limit, now);
+    fn add(&mut self, delta: UsageDelta, limits: &Limits, now: Moment) {
+        if let Some(limit) = limits.get(&delta.tenant) {
+            let bucket = self.buckets.entry(delta.tenant).or_insert_with(|| Bucket::new(now));
+            bucket.add(delta.requested, delta.admitted, *limit, now);
         }
     }
 
-    /// Nodes whose requests are counted.
-    pub fn heard(&self, now: Moment) -> u32 {
-        self.members.nodes(now) + self.collectors.nodes(now)
+    /// Number of nodes whose requests are currently counted.
+    pub fn reporting_nodes(&self, now: Moment) -> u32 {
+        self.nodes.nodes(now) + self.other_collectors.nodes(now)
     }
 
-    /// True while nodes report to this collector.
+    /// True while nodes of the zone report to this collector.
     pub fn is_active(&self, now: Moment) -> bool {
-        self.members.nodes(now) > 0
+        self.nodes.nodes(now) > 0
     }
 
-    /// The tenants of whose requests only a part may be let in, where `nodes` are listed.
+    /// Fractions of the tenants of whose requests not all may be admitted. `nodes` is the number of nodes
+    /// in the directory.
     pub fn admitted_fractions(&mut self, limits: &Limits, nodes: u32, now: Moment) -> &[AdmittedFraction] {
-        if self.parts_at.is_none_or(|at| now.since(at) >= PARTS_KEPT) {
-            self.parts_at = Some(now);
-            self.parts = self.parts_now(limits, nodes, now);
+        if self.fractions_at.is_none_or(|at| now.since(at) >= FRACTIONS_VALID_FOR) {
+            self.fractions_at = Some(now);
+            self.fractions = self.compute_fractions(limits, nodes, now);
         }
-        &self.parts
+        &self.fractions
     }
 
-    fn parts_now(&mut self, limits: &Limits, nodes: u32, now: Moment) -> Vec<AdmittedFraction> {
-        let heard = f64::from(self.heard(now)) / f64::from(nodes.max(1));
-        let fleet_part = (heard * MISSING_TOLERATED).min(1.0);
-        let counted = self.began.map_or(Duration::ZERO, |began| now.since(began));
+    fn compute_fractions(&mut self, limits: &Limits, nodes: u32, now: Moment) -> Vec<AdmittedFraction> {
+        let reporting_fraction = f64::from(self.reporting_nodes(now)) / f64::from(nodes.max(1));
+        let fleet_fraction = (reporting_fraction * MISSING_NODES_TOLERANCE).min(1.0);
+        let counted = self.counting_since.map_or(Duration::ZERO, |since| now.since(since));
         self.buckets.retain(|tenant, _| limits.contains_key(tenant));
-        let parts = self.buckets.iter_mut().filter_map(|(tenant, bucket)| {
-            let part = bucket.part(limits[tenant].times(fleet_part), counted, now);
-            (part < WHOLE).then_some(AdmittedFraction { tenant: *tenant, fraction: part as f32 })
+        let fractions = self.buckets.iter_mut().filter_map(|(tenant, bucket)| {
+            let fraction = bucket.admitted_fraction(limits[tenant].scaled(fleet_fraction), counted, now);
+            (fraction < UNLIMITED_FROM).then_some(AdmittedFraction { tenant: *tenant, fraction: fraction as f32 })
         });
-        parts.collect()
+        fractions.collect()
     }
 
-    /// What other collectors are to be told now.
+    /// Reports to send to the other collectors now.
     pub fn zone_reports(&mut self, now: Moment) -> Vec<UsageReport> {
-        self.members.forget_silent(now);
-        self.collectors.forget_silent(now);
-        let nodes = u16::try_from(self.members.nodes(now)).unwrap_or(u16::MAX);
-        self.zone.reports(nodes, now)
+        self.nodes.remove_silent(now);
+        self.other_collectors.remove_silent(now);
+        let nodes = u16::try_from(self.nodes.nodes(now)).unwrap_or(u16::MAX);
+        self.zone_usage.reports(nodes, now)
     }
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,7 +1,7 @@
-//! What one sender has counted, and its reports.
+//! Usage counts of one sender, and the reports made from them.
 //!
-//! A report holds totals, which heal what a lost datagram held, and beside each what is new
-//! since the report before, for a receiver that does not know the total yet.
+//! A report holds totals, so that a later report makes up for a lost datagram. Next to each total it
+//! holds the change since the previous report, for a receiver that doesn't know the total yet.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,47 +11,48 @@
 
 use crate::TenantId;
 
-/// A total that has not changed for this long is left out: it was in several reports.
-const REPEATED_FOR: Duration = Duration::from_millis(1_000);
-/// Entries of one report: it fits into a datagram that no link splits.
-pub const MOST_ENTRIES: usize = 56;
+/// A total is repeated in reports for this long after its last change, and left out afterwards: by then
+/// several reports have held it.
+const REPEAT_FOR: Duration = Duration::from_millis(1_000);
+/// Maximum number of entries in one report, so that its datagram is not fragmented on any link.
+pub const MAX_ENTRIES: usize = 56;
 
-/// What was counted for one tenant.
+/// Usage counts of one tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct UsageEntry {
     /// The tenant.
     pub tenant: TenantId,
-    /// Requests asked for, in all; wraps.
-    pub asked: u32,
-    /// Requests let in, in all; wraps.
+    /// Total number of requests made; wraps.
+    pub requested: u32,
+    /// Total number of requests admitted; wraps.
     pub admitted: u32,
-    /// Those asked for since the report before, less those that were given back.
-    pub asked_lately: i32,
-    /// Those let in since the report before, less those that were given back.
-    pub admitted_lately: i32,
+    /// Requests made since the previous report, less refunds.
+    pub requested_delta: i32,
+    /// Requests admitted since the previous report, less refunds.
+    pub admitted_delta: i32,
 }
 
-/// What a sender tells.
+/// Usage report of a sender.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct UsageReport {
-    /// Totals of another generation began elsewhere.
+    /// Generation of the totals: those of different generations are not comparable.
     pub generation: u32,
-    /// Nodes whose requests are counted.
+    /// Number of nodes whose requests are counted.
     pub nodes: u16,
-    /// The tenants whose totals have changed lately.
+    /// Tenants whose totals have changed recently.
     pub entries: Vec<UsageEntry>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Total {
-    asked: u32,
+    requested: u32,
     admitted: u32,
-    told_asked: u32,
-    told_admitted: u32,
-    changed: Moment,
+    reported_requested: u32,
+    reported_admitted: u32,
+    changed_at: Moment,
 }
 
-/// Totals of one sender.
+/// Usage totals of one sender.
 #[derive(Debug, Default)]
 pub struct UsageLedger {
     generation: u32,
@@ -59,34 +60,36 @@
 }
 
 impl UsageLedger {
-    /// An empty ledger; no other one of this sender has the same generation.
+    /// An empty ledger. `generation` must differ from that of earlier ledgers of this sender.
     pub fn new(generation: u32) -> Self {
         UsageLedger { generation, totals: HashMap::new() }
     }
 
-    /// Another receiver is told from now on: nothing of what was counted before is news.
+    /// Clears the totals for reports to another receiver, which must not count earlier requests again.
     pub fn begin_generation(&mut self, generation: u32) {
         self.generation = generation;
         self.totals.clear();
     }
 
-    /// Adds what was asked for and let in; negative numbers give back.
-    pub fn add(&mut self, tenant: TenantId, asked: i32, admitted: i32, now: Moment) {
-        let empty = Total { asked: 0, admitted: 0, told_asked: 0, told_admitted: 0, changed: now };
+    /// Adds counts of requested and admitted requests; negative numbers are refunds.
+    pub fn add(&mut self, tenant: TenantId, requested: i32, admitted: i32, now: Moment) {
+        let empty =
+            Total { requested: 0, admitted: 0, reported_requested: 0, reported_admitted: 0, changed_at: now };
         let total = self.totals.entry(tenant).or_insert(empty);
-        total.asked = total.asked.wrapping_add_signed(asked);
+        total.requested = total.requested.wrapping_add_signed(requested);
         total.admitted = total.admitted.wrapping_add_signed(admitted);
-        total.changed = now;
+        total.changed_at = now;
     }
 
-    /// What is to be told now: at least one report, so that the receiver hears of this sender.
+    /// Reports to send now: at least one, possibly empty, so that the receiver knows that this sender is
+    /// alive.
     pub fn reports(&mut self, nodes: u16, now: Moment) -> Vec<UsageReport> {
-        let changed_lately = |total: &&mut Total| now.since(total.changed) <= REPEATED_FOR;
+        let is_recent = |total: &&mut Total| now.since(total.changed_at) <= REPEAT_FOR;
         let entries: Vec<UsageEntry> = self
             .totals
             .iter_mut()
             .map(|(tenant, total)| (*tenant, total))
-            .filter(|(_, total)| changed_lately(total))
+            .filter(|(_, total)| is_recent(total))
             .map(|(tenant, total)| total.entry(tenant))
             .collect();
         let report =
@@ -94,7 +97,7 @@
         if entries.is_empty() {
             return vec![report(&[])];
         }
-        entries.chunks(MOST_ENTRIES).map(report).collect()
+        entries.chunks(MAX_ENTRIES).map(report).collect()
     }
 }
 
@@ -102,13 +105,13 @@
     fn entry(&mut self, tenant: TenantId) -> UsageEntry {
         let entry = UsageEntry {
             tenant,
-            asked: self.asked,
+            requested: self.requested,
             admitted: self.admitted,
-            asked_lately: self.asked.wrapping_sub(self.told_asked).cast_signed(),
-            admitted_lately: self.admitted.wrapping_sub(self.told_admitted).cast_signed(),
+            requested_delta: self.requested.wrapping_sub(self.reported_requested).cast_signed(),
+            admitted_delta: self.admitted.wrapping_sub(self.reported_admitted).cast_signed(),
         };
-        self.told_asked = self.asked;
-        self.told_admitted = self.admitted;
+        self.reported_requested = self.requested;
+        self.reported_admitted = self.admitted;
         entry
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,18 +1,19 @@
-//! Quotas of tenants over all nodes together, without shared state. Nothing here reads a clock,
-//! draws random numbers or performs I/O.
+//! Request quotas of tenants, enforced across all nodes without shared state. Nothing here reads a
+//! clock, draws random numbers or performs I/O.
 //!
-//! Each node counts what its tenants ask for and are let in with, and tells the *collector* of
-//! its zone. Collectors tell each other the sums of their zones, so each of them knows the use
-//! of the whole fleet some tenths of a second late, and answers with the part of a tenant's
-//! requests that may be let in. A node that no collector answers keeps to its fixed part.
+//! Each node counts the requests that its tenants make and those that it admits, and reports both to
+//! the *collector* of its zone. Collectors exchange the totals of their zones, so each of them knows
+//! the usage of the whole fleet with a delay of some tenths of a second. It answers each report with
+//! the fraction of each tenant's requests to admit. A node without an answer enforces a static share
+//! of the limit.
 //!
-//! - [`limit`]: a tenant's limit, and by how much the fleet may be off it.
-//! - [`ledger`]: what one sender has counted, and its reports.
-//! - [`senders`]: the receiver's side of reports: what is new in each.
-//! - [`bucket`]: a tenant's tokens and demand, as a collector sees them.
+//! - [`limit`]: limit of a tenant, and the tolerance within which the fleet enforces it.
+//! - [`ledger`]: usage counts of one sender, and the reports made from them.
+//! - [`senders`]: receiver's side of the reports.
+//! - [`bucket`]: tokens and demand of a tenant, as counted by a collector.
 //! - [`collector`]: the collector of a zone.
-//! - [`static_share`]: what a node may let in that hears nobody.
-//! - [`node`]: the decision at a node.
+//! - [`static_share`]: share of a limit for a node without a collector.
+//! - [`node`]: quota decisions at one node.
 
 pub mod bucket;
 pub mod collector;
@@ -30,12 +31,12 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_types::TenantName;
 
-/// A tenant in messages between nodes: a digest of its name, alike on all nodes.
+/// Identifies a tenant in messages between nodes: a digest of its name, the same on all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct TenantId(pub u64);
 
 impl TenantId {
-    /// The id of the tenant with this name.
+    /// Id of the tenant with this name.
     pub fn of(name: &TenantName) -> Self {
         let digest = blake3::hash(name.as_str().as_bytes());
         let mut first = [0; 8];
--- a/crates/quota/src/node.rs
+++ b/crates/quota/src/node.rs
@@ -1,4 +1,4 @@
-//! The decision at a node.
+//! Quota decisions at one node.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,48 +7,50 @@
 use olivegate_types::Moment;
 
 use crate::TenantId;
-use crate::bucket::FIRST_PART;
+use crate::bucket::INITIAL_FILL;
 use crate::ledger::{UsageLedger, UsageReport};
 use crate::limit::QuotaLimit;
-use crate::static_share::FixedPart;
+use crate::static_share::StaticShare;
 
-/// What a collector said holds for this long; it answers several times in it.
-const TOLD_HOLDS: Duration = Duration::from_millis(1_000);
-/// Part of its fixed part that a node keeps to which has lost its collector: what the fleet let in
-/// too much just before is paid back by all nodes.
-const CUT_OFF_PART: f64 = 0.7;
-/// Shortest time to come back after a refusal.
-const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Time to come back where nearly nothing is let in.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(3);
+/// Validity of a collector's answer. Several answers arrive within it, so that a few may be lost.
+const ANSWER_VALID_FOR: Duration = Duration::from_millis(1_000);
+/// Fraction of its static share that a node uses after it has lost its collector: with the rest, all
+/// nodes pay back what the fleet may have admitted in excess just before.
+const DISCONNECTED_FRACTION: f64 = 0.7;
+/// Minimum `retry_after` of a refusal.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Added to the minimum, at most, for a tenant of whose requests almost none are admitted.
+const MAX_RETRY_AFTER_SPREAD: Duration = Duration::from_secs(3);
 
-/// The part of a tenant's requests that may be let in, from 0 to 1.
+/// Fraction of a tenant's requests to admit, from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct AdmittedFraction {
     /// The tenant.
     pub tenant: TenantId,
-    /// The part.
+    /// The fraction.
     pub fraction: f32,
 }
 
-/// A request beyond its tenant's quota.
+/// Refusal of a request that exceeds the quota of its tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaExceeded {
-    /// When the tenant has room again.
+    /// Delay after which the tenant is expected to have quota again.
     pub retry_after: Duration,
 }
 
-/// Quotas at one node.
+/// Quota state of one node: its usage counts, the last answer of its collector and its static shares.
 #[derive(Debug, Default)]
 pub struct NodeQuotas {
-    ledger: UsageLedger,
-    told: HashMap<TenantId, f32>,
-    told_at: Option<Moment>,
-    fixed: HashMap<TenantId, FixedPart>,
+    usage: UsageLedger,
+    fractions: HashMap<TenantId, f32>,
+    /// Send time of the report whose answer is stored in `fractions`.
+    answer_requested_at: Option<Moment>,
+    static_shares: HashMap<TenantId, StaticShare>,
 }
 
 impl NodeQuotas {
-    /// Lets a request of `tenant` in, or not. `nodes` are listed; `draw` is uniform in `[0, 1)`.
+    /// Admits or refuses a request of `tenant`. `nodes` is the number of nodes in the directory; `draw` is
+    /// uniform in `[0, 1)`.
     pub fn admit(
         &mut self,
         tenant: TenantId,
@@ -57,65 +59,72 @@
         draw: f64,
         now: Moment,
     ) -> Result<(), QuotaExceeded> {
-        let part = self.told_part(tenant, now);
-        let is_admitted = match part {
-            Some(part) => draw < part,
+        let fraction = self.current_fraction(tenant, now);
+        let is_admitted = match fraction {
+            Some(fraction) => draw < fraction,
             None => {
-                // What a collector counted may have used up the burst of all nodes already, and more.
-                let (filled, kept) = if self.told_at.is_some() { (0.0, CUT_OFF_PART) } else { (FIRST_PART, 1.0) };
-                let begin = || FixedPart::new(limit, nodes, filled, now);
-                let fixed = self.fixed.entry(tenant).or_insert_with(begin);
-                fixed.admit(limit.times(kept), nodes, draw, now)
+                // After a collector has answered, the fleet may already have used its whole burst and more,
+                // so the share starts empty.
+                let (initial_fill, limit_fraction) = if self.answer_requested_at.is_some() {
+                    (0.0, DISCONNECTED_FRACTION)
+                } else {
+                    (INITIAL_FILL, 1.0)
+                };
+                let new_share = || StaticShare::new(limit, nodes, initial_fill, now);
+                let share = self.static_shares.entry(tenant).or_insert_with(new_share);
+                share.admit(limit.scaled(limit_fraction), nodes, draw, now)
             }
         };
-        self.ledger.add(tenant, 1, i32::from(is_admitted), now);
+        self.usage.add(tenant, 1, i32::from(is_admitted), now);
         if is_admitted {
             return Ok(());
         }
-        Err(QuotaExceeded { retry_after: retry_after(part.unwrap_or_default(), draw) })
+        Err(QuotaExceeded { retry_after: retry_after(fraction.unwrap_or_default(), draw) })
     }
 
-    /// The request was not run: it counts as if it had not been asked for.
+    /// Takes a request that was not executed out of the counts.
     pub fn refund(&mut self, tenant: TenantId, now: Moment) {
-        self.ledger.add(tenant, -1, -1, now);
+        self.usage.add(tenant, -1, -1, now);
     }
 
-    /// The part that a collector named lately; 1 for those it did not name.
-    fn told_part(&self, tenant: TenantId, now: Moment) -> Option<f64> {
+    /// Fraction from the collector's recent answer, 1 for a tenant that is not in it; `None` without a
+    /// recent answer.
+    fn current_fraction(&self, tenant: TenantId, now: Moment) -> Option<f64> {
         let is_recent = self.has_recent_answer(now);
-        is_recent.then(|| self.told.get(&tenant).map_or(1.0, |part| f64::from(*part)))
+        is_recent.then(|| self.fractions.get(&tenant).map_or(1.0, |fraction| f64::from(*fraction)))
     }
 
-    /// True while a collector's word holds.
+    /// True while the last answer of a collector is valid.
     pub fn has_recent_answer(&self, now: Moment) -> bool {
-        self.told_at.is_some_and(|at| now.since(at) <= TOLD_HOLDS)
+        self.answer_requested_at.is_some_and(|at| now.since(at) <= ANSWER_VALID_FOR)
     }
 
-    /// A collector that was asked at `asked` named these parts.
-    pub fn on_collector_answer(&mut self, parts: &[AdmittedFraction], asked: Moment) {
-        if self.told_at.is_some_and(|at| at > asked) {
+    /// Stores the answer of a collector to the report sent at `requested_at`, unless a newer one is known.
+    pub fn on_collector_answer(&mut self, fractions: &[AdmittedFraction], requested_at: Moment) {
+        if self.answer_requested_at.is_some_and(|at| at > requested_at) {
             return;
         }
-        self.told_at = Some(asked);
-        self.told = parts.iter().map(|told| (told.tenant, told.fraction)).collect();
-        // Nobody keeps to fixed parts while collectors count.
-        self.fixed.clear();
+        self.answer_requested_at = Some(requested_at);
+        self.fractions = fractions.iter().map(|entry| (entry.tenant, entry.fraction)).collect();
+        // Static shares apply only while no collector answers.
+        self.static_shares.clear();
     }
 
-    /// Another collector is told from now on.
+    /// Starts a new generation of counts, for reports to another collector.
     pub fn begin_generation(&mut self, generation: u32) {
-        self.ledger.begin_generation(generation);
+        self.usage.begin_generation(generation);
     }
 
-    /// What the collector is to be told now.
+    /// Reports to send to the collector now.
     pub fn reports(&mut self, now: Moment) -> Vec<UsageReport> {
-        self.ledger.reports(1, now)
+        self.usage.reports(1, now)
     }
 }
 
-/// The less is let in, the later; spread by `draw`, which was at least `part`.
-fn retry_after(part: f64, draw: f64) -> Duration {
-    let spread = (draw - part) / (1.0 - part).max(f64::EPSILON);
-    let longest = LONGEST_RETRY_AFTER.mul_f64((1.0 - part).clamp(0.0, 1.0));
-    SHORTEST_RETRY_AFTER + longest.mul_f64(spread.clamp(0.0, 1.0))
+/// Grows as `fraction` falls, and is spread by `draw`, which is at least `fraction`, so that refused clients
+/// don't return all at once.
+fn retry_after(fraction: f64, draw: f64) -> Duration {
+    let position = (draw - fraction) / (1.0 - fraction).max(f64::EPSILON);
+    let max_spread = MAX_RETRY_AFTER_SPREAD.mul_f64((1.0 - fraction).clamp(0.0, 1.0));
+    MIN_RETRY_AFTER + max_spread.mul_f64(position.clamp(0.0, 1.0))
 }
--- a/crates/quota/src/senders.rs
+++ b/crates/quota/src/senders.rs
@@ -1,4 +1,4 @@
-//! The receiver's side of reports: what is new in each.
+//! Receiver's side of usage reports: turns the totals of each sender into changes.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -9,30 +9,30 @@
 use crate::TenantId;
 use crate::ledger::UsageReport;
 
-/// A sender that has not been heard for this long is not counted on; if it comes back, what it
-/// counted meanwhile was told to another receiver.
-pub const HEARD_WITHIN: Duration = Duration::from_millis(900);
+/// A sender without a report for this long no longer counts as reporting. If it returns, its totals start
+/// anew, because it has reported the requests of the meantime to another receiver.
+pub const SENDER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// What a report adds for one tenant.
+/// Change of the usage of one tenant by a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Addition {
+pub struct UsageDelta {
     /// The tenant.
     pub tenant: TenantId,
-    /// Requests asked for.
-    pub asked: i32,
-    /// Requests let in; negative where some were given back.
+    /// Requests made.
+    pub requested: i32,
+    /// Requests admitted; negative when refunds outweigh them.
     pub admitted: i32,
 }
 
 #[derive(Debug)]
 struct Sender {
     generation: u32,
-    heard: Moment,
+    last_heard: Moment,
     nodes: u16,
     totals: HashMap<TenantId, (u32, u32)>,
 }
 
-/// Those that report to one receiver.
+/// Senders that report to one receiver, by their key.
 #[derive(Debug)]
 pub struct Senders<Key> {
     senders: HashMap<Key, Sender>,
@@ -45,37 +45,45 @@
 }
 
 impl<Key: Eq + Hash> Senders<Key> {
-    /// Takes a report; tells what it adds.
-    pub fn take(&mut self, from: Key, report: &UsageReport, now: Moment) -> Vec<Addition> {
-        let begin =
-            || Sender { generation: report.generation, heard: now, nodes: report.nodes, totals: HashMap::new() };
-        let sender = self.senders.entry(from).or_insert_with(begin);
-        if sender.generation != report.generation || now.since(sender.heard) > HEARD_WITHIN {
-            *sender = begin();
+    /// Takes in a report and returns the changes that it contains.
+    pub fn apply(&mut self, from: Key, report: &UsageReport, now: Moment) -> Vec<UsageDelta> {
+        let new_sender = || Sender {
+            generation: report.generation,
+            last_heard: now,
+            nodes: report.nodes,
+            totals: HashMap::new(),
+        };
+        let sender = self.senders.entry(from).or_insert_with(new_sender);
+        if sender.generation != report.generation || now.since(sender.last_heard) > SENDER_TIMEOUT {
+            *sender = new_sender();
         }
-        sender.heard = now;
+        sender.last_heard = now;
         sender.nodes = report.nodes;
-        let news = report.entries.iter().map(|entry| {
-            let known = sender.totals.insert(entry.tenant, (entry.asked, entry.admitted));
-            let (asked, admitted) = match known {
-                Some((asked, admitted)) => {
-                    (entry.asked.wrapping_sub(asked), entry.admitted.wrapping_sub(admitted))
+        let deltas = report.entries.iter().map(|entry| {
+            let known = sender.totals.insert(entry.tenant, (entry.requested, entry.admitted));
+            let (requested, admitted) = match known {
+                Some((requested, admitted)) => {
+                    (entry.requested.wrapping_sub(requested), entry.admitted.wrapping_sub(admitted))
                 }
-                None => (entry.asked_lately.cast_unsigned(), entry.admitted_lately.cast_unsigned()),
+                None => (entry.requested_delta.cast_unsigned(), entry.admitted_delta.cast_unsigned()),
             };
-            Addition { tenant: entry.tenant, asked: asked.cast_signed(), admitted: admitted.cast_signed() }
+            UsageDelta {
+                tenant: entry.tenant,
+                requested: requested.cast_signed(),
+                admitted: admitted.cast_signed(),
+            }
         });
-        news.filter(|addition| addition.asked != 0 || addition.admitted != 0).collect()
+        deltas.filter(|delta| delta.requested != 0 || delta.admitted != 0).collect()
     }
 
-    /// Nodes whose requests are counted by the senders heard lately.
+    /// Number of nodes whose requests are counted by the senders that currently report.
     pub fn nodes(&self, now: Moment) -> u32 {
-        let lately = self.senders.values().filter(|sender| now.since(sender.heard) <= HEARD_WITHIN);
-        lately.map(|sender| u32::from(sender.nodes)).sum()
+        let recent = self.senders.values().filter(|sender| now.since(sender.last_heard) <= SENDER_TIMEOUT);
+        recent.map(|sender| u32::from(sender.nodes)).sum()
     }
 
-    /// Forgets senders that have not been heard lately.
-    pub fn forget_silent(&mut self, now: Moment) {
-        self.senders.retain(|_, sender| now.since(sender.heard) <= HEARD_WITHIN);
+    /// Removes senders that have not reported within [`SENDER_TIMEOUT`].
+    pub fn remove_silent(&mut self, now: Moment) {
+        self.senders.retain(|_, sender| now.since(sender.last_heard) <= SENDER_TIMEOUT);
     }
 }
--- a/crates/quota/tests/emulation/collectors.rs
+++ b/crates/quota/tests/emulation/collectors.rs
@@ -1,4 +1,4 @@
-//! Counts told to the collector of each zone.
+//! The scheme of the crate: nodes report their counts to the collector of their zone.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr};
@@ -7,29 +7,29 @@
 use olivegate_quota::collector::Limits;
 use olivegate_quota::{AdmittedFraction, Collector, NodeQuotas, UsageReport};
 
-use crate::scenario::{Scenario, TOLERANCE, Way, ZONES, moment, tenant_id};
+use crate::scenario::{QuotaScheme, Scenario, TOLERANCE, ZONES, moment, tenant_id};
 
 const INTERVAL_MS: u64 = 200;
 const COLLECTOR_INTERVAL_MS: u64 = 100;
-const WAY_IN_ZONE_MS: u64 = 2;
-const WAY_BETWEEN_ZONES_MS: u64 = 4;
+const DELAY_IN_ZONE_MS: u64 = 2;
+const DELAY_BETWEEN_ZONES_MS: u64 = 4;
 const ENTRY_BYTES: u64 = 24;
-const HEAD_BYTES: u64 = 48;
-const PART_BYTES: u64 = 12;
+const HEADER_BYTES: u64 = 48;
+const FRACTION_BYTES: u64 = 12;
 
 enum Message {
-    Usage { from: usize, to: usize, asked_ms: u64, report: UsageReport },
-    Told { to: usize, asked_ms: u64, parts: Vec<AdmittedFraction> },
+    Usage { from: usize, to: usize, sent_ms: u64, report: UsageReport },
+    Answer { to: usize, sent_ms: u64, fractions: Vec<AdmittedFraction> },
     Zone { from: usize, to: usize, report: UsageReport },
 }
 
-pub struct ToldCounts {
-    shares: Vec<NodeQuotas>,
-    /// The collectors of the zones: the node of the zone's number.
+pub struct CollectorCounts {
+    nodes: Vec<NodeQuotas>,
+    /// Collectors by zone: the node with the number of the zone.
     collectors: Vec<Collector>,
-    under_way: VecDeque<(u64, Message)>,
+    in_transit: VecDeque<(u64, Message)>,
     generation: u32,
-    /// Where no limit changes, all collectors know the same.
+    /// Shared by all collectors of a scenario in which no limit changes.
     limits: Rc<Limits>,
     bytes: u64,
     cross: u64,
@@ -44,12 +44,12 @@
     (0..scenario.tenants).map(limit).collect()
 }
 
-impl ToldCounts {
+impl CollectorCounts {
     pub fn new(scenario: &Scenario) -> Self {
-        let mut fleet = ToldCounts {
-            shares: Vec::new(),
+        let mut fleet = CollectorCounts {
+            nodes: Vec::new(),
             collectors: Vec::new(),
-            under_way: VecDeque::new(),
+            in_transit: VecDeque::new(),
             generation: 0,
             limits: Rc::new(limits(scenario, 0, 0)),
             bytes: 0,
@@ -71,22 +71,25 @@
         self.bytes += bytes;
         self.cross += if is_cross { bytes } else { 0 };
         if scenario.reaches(from, to, at_ms) {
-            let way = if is_cross { WAY_BETWEEN_ZONES_MS } else { WAY_IN_ZONE_MS };
-            self.under_way.push_back((at_ms + way, message));
+            let delay = if is_cross { DELAY_BETWEEN_ZONES_MS } else { DELAY_IN_ZONE_MS };
+            self.in_transit.push_back((at_ms + delay, message));
         }
     }
 
     fn deliver(&mut self, scenario: &Scenario, message: Message, at_ms: u64) {
         match message {
-            Message::Usage { from, to, asked_ms, report } => {
+            Message::Usage { from, to, sent_ms, report } => {
                 let limits = self.limits(scenario, to, at_ms);
                 let collector = &mut self.collectors[to];
                 collector.on_node_report(ip(from), &report, &limits, moment(at_ms));
-                let parts = collector.admitted_fractions(&limits, scenario.nodes as u32, moment(at_ms)).to_vec();
-                let bytes = HEAD_BYTES + parts.len() as u64 * PART_BYTES;
-                self.send(scenario, to, from, at_ms, bytes, Message::Told { to: from, asked_ms, parts });
+                let fractions =
+                    collector.admitted_fractions(&limits, scenario.nodes as u32, moment(at_ms)).to_vec();
+                let bytes = HEADER_BYTES + fractions.len() as u64 * FRACTION_BYTES;
+                self.send(scenario, to, from, at_ms, bytes, Message::Answer { to: from, sent_ms, fractions });
+            }
+            Message::Answer { to, sent_ms, fractions } => {
+                self.nodes[to].on_collector_answer(&fractions, moment(sent_ms))
             }
-            Message::Told { to, asked_ms, parts } => self.shares[to].on_collector_answer(&parts, moment(asked_ms)),
             Message::Zone { from, to, report } => {
                 let limits = self.limits(scenario, to, at_ms);
                 self.collectors[to].on_collector_report(ip(from), &report, &limits, moment(at_ms));
@@ -94,19 +97,19 @@
         }
     }
 
-    fn tell(&mut self, scenario: &Scenario, node: usize, at_ms: u64) {
+    fn report(&mut self, scenario: &Scenario, node: usize, at_ms: u64) {
         let collector = scenario.zone(node);
-        for report in self.shares[node].reports(moment(at_ms)) {
-            let bytes = HEAD_BYTES + report.entries.len() as u64 * ENTRY_BYTES;
-            let message = Message::Usage { from: node, to: collector, asked_ms: at_ms, report };
+        for report in self.nodes[node].reports(moment(at_ms)) {
+            let bytes = HEADER_BYTES + report.entries.len() as u64 * ENTRY_BYTES;
+            let message = Message::Usage { from: node, to: collector, sent_ms: at_ms, report };
             self.send(scenario, node, collector, at_ms, bytes, message);
         }
     }
 
-    fn tell_zones(&mut self, scenario: &Scenario, zone: usize, at_ms: u64) {
+    fn report_zone(&mut self, scenario: &Scenario, zone: usize, at_ms: u64) {
         for report in self.collectors[zone].zone_reports(moment(at_ms)) {
             for to in (0..ZONES).filter(|other| *other != zone) {
-                let bytes = HEAD_BYTES + report.entries.len() as u64 * ENTRY_BYTES;
+                let bytes = HEADER_BYTES + report.entries.len() as u64 * ENTRY_BYTES;
                 let message = Message::Zone { from: zone, to, report: report.clone() };
                 self.send(scenario, zone, to, at_ms, bytes, message);
             }
@@ -114,28 +117,28 @@
     }
 }
 
-impl Way for ToldCounts {
+impl QuotaScheme for CollectorCounts {
     fn admit(&mut self, scenario: &Scenario, node: usize, tenant: usize, at_ms: u64, draw: f64) -> bool {
         let limit = scenario.limit(tenant, node, at_ms).enforced_with(&TOLERANCE);
         let nodes = scenario.nodes as u32;
-        self.shares[node].admit(tenant_id(tenant), limit, nodes, draw, moment(at_ms)).is_ok()
+        self.nodes[node].admit(tenant_id(tenant), limit, nodes, draw, moment(at_ms)).is_ok()
     }
 
     fn step(&mut self, scenario: &Scenario, at_ms: u64) {
         let due = |(at, _): &(u64, Message)| *at <= at_ms;
-        let (arrived, later): (Vec<_>, Vec<_>) = self.under_way.drain(..).partition(due);
-        self.under_way = later.into();
+        let (arrived, later): (Vec<_>, Vec<_>) = self.in_transit.drain(..).partition(due);
+        self.in_transit = later.into();
         for (_, message) in arrived {
             self.deliver(scenario, message, at_ms);
         }
         for node in 0..scenario.nodes {
             if (at_ms + node as u64 * 70).is_multiple_of(INTERVAL_MS) {
-                self.tell(scenario, node, at_ms);
+                self.report(scenario, node, at_ms);
             }
         }
         for zone in 0..ZONES {
             if (at_ms + zone as u64 * 30).is_multiple_of(COLLECTOR_INTERVAL_MS) {
-                self.tell_zones(scenario, zone, at_ms);
+                self.report_zone(scenario, zone, at_ms);
             }
         }
     }
@@ -146,14 +149,14 @@
             self.generation
         };
         self.collectors = (0..ZONES).map(|_| Collector::new(generation())).collect();
-        self.shares = (0..scenario.nodes)
+        self.nodes = (0..scenario.nodes)
             .map(|_| {
-                let mut share = NodeQuotas::default();
-                share.begin_generation(generation());
-                share
+                let mut quotas = NodeQuotas::default();
+                quotas.begin_generation(generation());
+                quotas
             })
             .collect();
-        self.under_way.clear();
+        self.in_transit.clear();
     }
 
     fn bytes(&self) -> (u64, u64) {
--- a/crates/quota/tests/emulation/scenario.rs
+++ b/crates/quota/tests/emulation/scenario.rs
@@ -1,4 +1,4 @@
-//! Demand, cuts and what is measured.
+//! Demand, network partitions and the measured outcome.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -10,44 +10,44 @@
 
 pub const STEP_MS: u64 = 10;
 pub const ZONES: usize = 3;
-/// Requests a second of all tenants for each node: what a busy node of the deployments sees.
-const REQUESTS_PER_NODE: f64 = 22.0;
-/// A tenant's rate over its usual demand.
+/// Requests per second and node over all tenants, as on a busy node of the deployments.
+const REQUESTS_PER_NODE_S: f64 = 22.0;
+/// Rate limit of a tenant, relative to its usual demand.
 const RATE_OVER_USUAL: f64 = 1.6;
 const HOT_FROM_MS: u64 = 5_000;
-const CUT_MS: std::ops::Range<u64> = 6_000..12_000;
+const PARTITION_MS: std::ops::Range<u64> = 6_000..12_000;
 pub const TOLERANCE: Tolerance =
     Tolerance { window: std::time::Duration::from_secs(5), overshoot: 0.25, slack: 20.0 };
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cut {
+pub enum Partition {
     None,
     Halves,
-    Singles,
+    SingleNodes,
 }
 
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
     pub nodes: usize,
     pub tenants: usize,
-    /// The second largest tenant asks for this many times its usual.
+    /// Factor on the usual demand of the second largest tenant, from [`HOT_FROM_MS`] on.
     pub hot: f64,
-    pub cut: Cut,
-    /// All nodes forget everything at these times.
+    pub partition: Partition,
+    /// Times at which all nodes restart and lose their state.
     pub restarts: &'static [u64],
-    /// The largest tenant's limit falls to a fifth, on each node at a time of its own within the
-    /// 2.5 s that follow.
+    /// Time at which the largest tenant's limit is lowered to a fifth. Each node learns of it at a different
+    /// time within the next 2.5 s.
     pub lowered_ms: Option<u64>,
     pub seconds: u64,
 }
 
 impl Scenario {
-    /// Usual requests a second of a tenant: the larger ones are rare.
+    /// Usual requests per second of a tenant, by a Zipf-like distribution over its rank.
     pub fn usual(&self, tenant: usize) -> f64 {
         let rank = tenant as f64 + 1.0;
-        // Sum of the weights of all ranks, by the integral and its first correction.
+        // Approximate sum of the weights of all ranks: the integral and its first correction.
         let all = (self.tenants as f64).powf(0.1) / 0.1 - 9.45;
-        REQUESTS_PER_NODE * self.nodes as f64 * rank.powf(-0.9) / all
+        REQUESTS_PER_NODE_S * self.nodes as f64 * rank.powf(-0.9) / all
     }
 
     pub fn demand(&self, tenant: usize, at_ms: u64) -> f64 {
@@ -63,32 +63,33 @@
     /// The limit in force at a node.
     pub fn limit(&self, tenant: usize, node: usize, at_ms: u64) -> QuotaLimit {
         let full = self.full_limit(tenant);
-        let told_after = (node as u64 * 37) % 2_500;
-        let is_lowered = tenant == 0 && self.lowered_ms.is_some_and(|from| at_ms >= from + told_after);
-        if is_lowered { full.times(0.2) } else { full }
+        let learned_after = (node as u64 * 37) % 2_500;
+        let is_lowered = tenant == 0 && self.lowered_ms.is_some_and(|from| at_ms >= from + learned_after);
+        if is_lowered { full.scaled(0.2) } else { full }
     }
 
-    /// The limit by which the fleet is judged: a lower one a window after all nodes know it.
-    fn judged(&self, tenant: usize, at_ms: u64) -> QuotaLimit {
+    /// The limit that the fleet is checked against: a lowered one applies one window after all nodes know
+    /// it.
+    fn checked_limit(&self, tenant: usize, at_ms: u64) -> QuotaLimit {
         let full = self.full_limit(tenant);
         let is_lowered = tenant == 0 && self.lowered_ms.is_some_and(|from| at_ms >= from + 7_500);
-        if is_lowered { full.times(0.2) } else { full }
+        if is_lowered { full.scaled(0.2) } else { full }
     }
 
     pub fn zone(&self, node: usize) -> usize {
         node % ZONES
     }
 
-    /// True when a message gets from one node to another.
+    /// True when a message from one node reaches another.
     pub fn reaches(&self, from: usize, to: usize, at_ms: u64) -> bool {
-        if from == to || !CUT_MS.contains(&at_ms) {
+        if from == to || !PARTITION_MS.contains(&at_ms) {
             return true;
         }
         let is_single = |node: usize| (node * 7_919) % 10 < 3;
-        match self.cut {
-            Cut::None => true,
-            Cut::Halves => (from < self.nodes / 2) == (to < self.nodes / 2),
-            Cut::Singles => !is_single(from) && !is_single(to),
+        match self.partition {
+            Partition::None => true,
+            Partition::Halves => (from < self.nodes / 2) == (to < self.nodes / 2),
+            Partition::SingleNodes => !is_single(from) && !is_single(to),
         }
     }
 }
@@ -101,25 +102,25 @@
     Moment::from_millis(at_ms)
 }
 
-/// A way to keep quotas.
-pub trait Way {
-    /// True when a request is let in.
+/// A scheme for enforcing quotas across the fleet.
+pub trait QuotaScheme {
+    /// True when a request is admitted.
     fn admit(&mut self, scenario: &Scenario, node: usize, tenant: usize, at_ms: u64, draw: f64) -> bool;
-    /// Time has passed.
+    /// Advances the emulated time to `at_ms`.
     fn step(&mut self, scenario: &Scenario, at_ms: u64);
-    /// All nodes forget everything.
+    /// Restarts all nodes, which lose their state.
     fn restart(&mut self, scenario: &Scenario, at_ms: u64);
-    /// Bytes sent so far: all, and those between zones.
+    /// Bytes sent so far: in total, and between zones.
     fn bytes(&self) -> (u64, u64);
 }
 
-/// What was measured.
+/// Measured results of a scenario.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Requests let in within the worst window of the worst tenant, over what is allowed.
+    /// Largest ratio of admitted to tolerated requests over all windows and tenants.
     pub worst_window: f64,
-    /// Part of what an exact bucket would have let in that was refused.
-    pub owed_refused: f64,
+    /// Fraction of the requests that an exact token bucket would have admitted and the scheme refused.
+    pub refused_within_limit: f64,
     bytes_per_node_s: f64,
     cross_zone_per_node_s: f64,
 }
@@ -128,28 +129,30 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
-            "worst window {:.2} of what is allowed, owed and refused {:.3}, bytes a second and node {:.0} ({:.1} between zones)",
-            self.worst_window, self.owed_refused, self.bytes_per_node_s, self.cross_zone_per_node_s
+            "worst window {:.2} of the tolerated requests, refused within the limit {:.3}, bytes per second and node {:.0} ({:.1} between zones)",
+            self.worst_window, self.refused_within_limit, self.bytes_per_node_s, self.cross_zone_per_node_s
         )
     }
 }
 
-/// What the bucket of a tenant would have let in, and what was let in.
+/// Compares the admitted requests of a tenant with those of an exact token bucket.
 #[derive(Debug, Default, Clone)]
-struct Judge {
+struct TenantMeter {
     tokens: f64,
-    owed: f64,
+    entitled: f64,
     admitted: f64,
     window: VecDeque<(u64, u32)>,
     in_window: u32,
 }
 
-impl Judge {
-    fn note(&mut self, limit: QuotaLimit, at_ms: u64, asked: u32, admitted: u32) -> f64 {
+impl TenantMeter {
+    /// Adds the requests of one step; returns the ratio of admitted to tolerated requests in the window that
+    /// ends with it.
+    fn record(&mut self, limit: QuotaLimit, at_ms: u64, requested: u32, admitted: u32) -> f64 {
         self.tokens = (self.tokens + limit.rate_per_s * STEP_MS as f64 / 1_000.0).min(limit.burst);
-        let owed = f64::from(asked).min(self.tokens.max(0.0));
-        self.tokens -= owed;
-        self.owed += owed;
+        let entitled = f64::from(requested).min(self.tokens.max(0.0));
+        self.tokens -= entitled;
+        self.entitled += entitled;
         self.admitted += f64::from(admitted);
         self.window.push_back((at_ms, admitted));
         self.in_window += admitted;
@@ -161,34 +164,34 @@
     }
 }
 
-pub fn play(scenario: &Scenario, way: &mut dyn Way) -> Outcome {
+pub fn run(scenario: &Scenario, scheme: &mut dyn QuotaScheme) -> Outcome {
     let mut random = SmallRng::seed_from_u64(7);
-    let mut judges = vec![Judge::default(); scenario.tenants];
-    for (tenant, judge) in judges.iter_mut().enumerate() {
-        judge.tokens = scenario.full_limit(tenant).burst;
+    let mut meters = vec![TenantMeter::default(); scenario.tenants];
+    for (tenant, meter) in meters.iter_mut().enumerate() {
+        meter.tokens = scenario.full_limit(tenant).burst;
     }
     let mut outcome = Outcome::default();
     for at_ms in (0..scenario.seconds * 1_000).step_by(STEP_MS as usize) {
         if scenario.restarts.contains(&at_ms) {
-            way.restart(scenario, at_ms);
+            scheme.restart(scenario, at_ms);
         }
-        way.step(scenario, at_ms);
-        for (tenant, judge) in judges.iter_mut().enumerate() {
+        scheme.step(scenario, at_ms);
+        for (tenant, meter) in meters.iter_mut().enumerate() {
             let expected = scenario.demand(tenant, at_ms) * STEP_MS as f64 / 1_000.0;
-            let asked = expected as u32 + u32::from(random.random::<f64>() < expected.fract());
+            let requested = expected as u32 + u32::from(random.random::<f64>() < expected.fract());
             let mut admitted = 0;
-            for _ in 0..asked {
+            for _ in 0..requested {
                 let node = random.random_range(0..scenario.nodes);
-                admitted += u32::from(way.admit(scenario, node, tenant, at_ms, random.random()));
+                admitted += u32::from(scheme.admit(scenario, node, tenant, at_ms, random.random()));
             }
-            let used = judge.note(scenario.judged(tenant, at_ms), at_ms, asked, admitted);
+            let used = meter.record(scenario.checked_limit(tenant, at_ms), at_ms, requested, admitted);
             outcome.worst_window = outcome.worst_window.max(used);
         }
     }
-    let owed: f64 = judges.iter().map(|judge| judge.owed).sum();
-    let lost: f64 = judges.iter().map(|judge| (judge.owed - judge.admitted).max(0.0)).sum();
-    outcome.owed_refused = lost / owed;
-    let (all, cross) = way.bytes();
+    let entitled: f64 = meters.iter().map(|meter| meter.entitled).sum();
+    let lost: f64 = meters.iter().map(|meter| (meter.entitled - meter.admitted).max(0.0)).sum();
+    outcome.refused_within_limit = lost / entitled;
+    let (all, cross) = scheme.bytes();
     let node_seconds = (scenario.nodes as u64 * scenario.seconds) as f64;
     outcome.bytes_per_node_s = all as f64 / node_seconds;
     outcome.cross_zone_per_node_s = cross as f64 / node_seconds;
--- a/crates/quota/tests/emulation/static_shares.rs
+++ b/crates/quota/tests/emulation/static_shares.rs
@@ -1,34 +1,34 @@
-//! Each node keeps to its part.
+//! Alternative scheme: each node enforces its static share of the limit.
 
 use std::collections::HashMap;
 
-use olivegate_quota::bucket::FIRST_PART;
-use olivegate_quota::static_share::FixedPart;
+use olivegate_quota::bucket::INITIAL_FILL;
+use olivegate_quota::static_share::StaticShare;
 
-use crate::scenario::{Scenario, TOLERANCE, Way, moment};
+use crate::scenario::{QuotaScheme, Scenario, TOLERANCE, moment};
 
-pub struct FixedParts {
-    parts: HashMap<(usize, usize), FixedPart>,
+pub struct StaticShares {
+    shares: HashMap<(usize, usize), StaticShare>,
 }
 
-impl FixedParts {
+impl StaticShares {
     pub fn new(_scenario: &Scenario) -> Self {
-        FixedParts { parts: HashMap::new() }
+        StaticShares { shares: HashMap::new() }
     }
 }
 
-impl Way for FixedParts {
+impl QuotaScheme for StaticShares {
     fn admit(&mut self, scenario: &Scenario, node: usize, tenant: usize, at_ms: u64, draw: f64) -> bool {
         let limit = scenario.limit(tenant, node, at_ms).enforced_with(&TOLERANCE);
         let nodes = scenario.nodes as u32;
-        let begin = || FixedPart::new(limit, nodes, FIRST_PART, moment(at_ms));
-        self.parts.entry((node, tenant)).or_insert_with(begin).admit(limit, nodes, draw, moment(at_ms))
+        let new_share = || StaticShare::new(limit, nodes, INITIAL_FILL, moment(at_ms));
+        self.shares.entry((node, tenant)).or_insert_with(new_share).admit(limit, nodes, draw, moment(at_ms))
     }
 
     fn step(&mut self, _scenario: &Scenario, _at_ms: u64) {}
 
     fn restart(&mut self, _scenario: &Scenario, _at_ms: u64) {
-        self.parts.clear();
+        self.shares.clear();
     }
 
     fn bytes(&self) -> (u64, u64) {
