--- a/crates/quarantine/benches/judge.rs
+++ b/crates/quarantine/benches/judge.rs
@@ -1,4 +1,4 @@
-//! What the quarantine costs a request: while nothing is suspected, and beside many suspects.
+//! Cost of the quarantine per request, without suspects and with many.
 
 use std::hint::black_box;
 
@@ -20,7 +20,7 @@
     suspects
 }
 
-fn judge(suspects: &mut Suspects, body: &[u8]) {
+fn decide(suspects: &mut Suspects, body: &[u8]) {
     if black_box(&*suspects).is_empty() {
         return;
     }
@@ -33,15 +33,15 @@
     let body = vec![7; 4_096];
     criterion.bench_function("nothing suspected", |bencher| {
         let mut suspects = suspects(0);
-        bencher.iter(|| judge(&mut suspects, &[]));
+        bencher.iter(|| decide(&mut suspects, &[]));
     });
     criterion.bench_function("1,000 suspects, no body", |bencher| {
         let mut suspects = suspects(1_000);
-        bencher.iter(|| judge(&mut suspects, &[]));
+        bencher.iter(|| decide(&mut suspects, &[]));
     });
     criterion.bench_function("1,000 suspects, body of 4 KB", |bencher| {
         let mut suspects = suspects(1_000);
-        bencher.iter(|| judge(&mut suspects, &body));
+        bencher.iter(|| decide(&mut suspects, &body));
     });
 }
 
--- a/crates/quarantine/src/content.rs
+++ b/crates/quarantine/src/content.rs
@@ -1,21 +1,21 @@
-//! What makes two requests the same.
+//! Content of a request, by which repeated requests are recognized.
 
 use std::fmt;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
-/// Bytes of a digest that are shown: enough to tell the few contents that are suspected apart.
-const SHOWN_BYTES: usize = 8;
+/// Number of digest bytes displayed: enough to distinguish the few suspected contents.
+const DISPLAYED_BYTES: usize = 8;
 
-/// Digest of what makes a request: method, path with query, calling service and body.
+/// Digest of the content of a request: method, path with query, calling service and body.
 ///
-/// Id, deadline, other header fields and the framing of the body don't count. It is
-/// cryptographic (BLAKE3), so that nobody can make a request which passes for another's.
+/// Request id, deadline, other header fields and the framing of the body are not part of it. The digest
+/// is cryptographic (BLAKE3), so that nobody can forge a request that is mistaken for another one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct ContentDigest(pub [u8; 32]);
 
 impl ContentDigest {
-    /// Digest of a request whose body is whole.
+    /// Digest of a request with a complete body.
     pub fn of(method: &[u8], target: &[u8], caller: &[u8], body: &[u8]) -> Self {
         let mut hasher = ContentHasher::new(method, target, caller);
         hasher.update(body);
@@ -25,7 +25,7 @@
 
 impl fmt::Display for ContentDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.iter().take(SHOWN_BYTES).try_for_each(|byte| write!(formatter, "{byte:02x}"))
+        self.0.iter().take(DISPLAYED_BYTES).try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
 }
 
@@ -35,40 +35,40 @@
     }
 }
 
-/// A content that is suspected.
+/// A suspected request content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SuspectedContent {
-    /// Its digest.
+    /// Digest of the content.
     pub digest: ContentDigest,
-    /// Digest of its beginning, where the body came as a stream: what begins otherwise need not be
-    /// read whole to be told apart.
+    /// Digest of the content up to a prefix of the body, if the body was streamed: a request with another
+    /// prefix is ruled out without reading its whole body.
     pub prefix: Option<ContentDigest>,
-    /// True when a gate knows that instances have answered it before.
+    /// True when a gate knows that instances have answered this content before.
     pub was_answered: bool,
 }
 
-/// A digest whose body comes in pieces.
+/// Computes the digest of a request whose body arrives in chunks.
 #[derive(Debug, Clone)]
 pub struct ContentHasher(blake3::Hasher);
 
 impl ContentHasher {
-    /// Begins with the head. Each part goes in behind its length, so that no two heads make
-    /// the same bytes.
+    /// Starts with the request head. Each field is prefixed with its length, so that no two heads hash the
+    /// same bytes.
     pub fn new(method: &[u8], target: &[u8], caller: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
-        for part in [method, target, caller] {
-            hasher.update(&(part.len() as u64).to_le_bytes());
-            hasher.update(part);
+        for field in [method, target, caller] {
+            hasher.update(&(field.len() as u64).to_le_bytes());
+            hasher.update(field);
         }
         ContentHasher(hasher)
     }
 
-    /// Adds a piece of the body.
-    pub fn update(&mut self, piece: &[u8]) {
-        self.0.update(piece);
+    /// Adds a chunk of the body.
+    pub fn update(&mut self, chunk: &[u8]) {
+        self.0.update(chunk);
     }
 
-    /// The digest of all that was added.
+    /// Digest of everything added so far.
     pub fn finish(&self) -> ContentDigest {
         ContentDigest(*self.0.finalize().as_bytes())
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,18 +1,18 @@
-//! Requests whose content ends the instances that run it (a "query of death").
+//! Quarantine of requests whose content terminates the instances that execute it (a "query of death").
 //!
-//! Such a request comes again under new ids, so it is told by its content. Each instance that ends
-//! leaves a mark on every content that was at work in it: one of them is guilty, the others
-//! were only beside it. A run that is answered clears its content. Until then a content with one
-//! mark runs only while no other suspect runs at that instance, so that the next end tells the
-//! guilty one from the others; with more marks it is held.
+//! Such a request is retried under new ids, so it is recognized by its content. When an instance ends,
+//! the end is recorded for every content that the instance was executing: one of them is the cause, the
+//! others merely ran at the same time. An answered run clears its content. Until then, a content with one
+//! end runs only while no other suspect runs at the same instance, so that the next end separates the
+//! cause from the others. A content with more ends is held.
 //!
-//! All of this is pure: times are arguments, and are to be of a clock that also counts while the
-//! machine is suspended.
+//! The crate performs no I/O and reads no clock: times are arguments, and must come from a clock that
+//! also advances while the machine is suspended.
 //!
-//! - [`content`]: what makes two requests the same.
-//! - [`policy`]: how many marks lead to what, and for how long.
-//! - [`suspects`]: the contents that are suspected, and what follows for a request.
-//! - [`report`]: what nodes tell each other of them.
+//! - [`content`]: content of a request, by which repeated requests are recognized.
+//! - [`policy`]: number of ends after which a content is restricted, and for how long.
+//! - [`suspects`]: the suspected contents, and the decision on a request.
+//! - [`report`]: reports on suspects, exchanged between nodes.
 
 pub mod content;
 pub mod policy;
--- a/crates/quarantine/src/policy.rs
+++ b/crates/quarantine/src/policy.rs
@@ -1,22 +1,22 @@
-//! How many marks lead to what, and for how long.
+//! Number of ends after which a content is restricted, and for how long.
 
 use std::time::Duration;
 
-/// Limits of the quarantine.
+/// Thresholds and times of the quarantine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuarantinePolicy {
-    /// Ends after which a content is held, but for one run that may clear it.
+    /// Ends after which a content is held, except for an occasional probe run that may clear it.
     pub held_after: u32,
-    /// Ends after which it is held without such a run.
+    /// Ends after which it is held without probe runs.
     pub refused_after: u32,
-    /// Ends beyond these that are borne of a content which instances have answered before: it has to
-    /// have changed its nature, which is rare, while many such contents run beside a guilty one.
+    /// Added to both thresholds for a content that instances have answered before. Such a content rarely
+    /// turns fatal, and many of them run at the same time as the one that is.
     pub extra_if_answered: u32,
-    /// Time from the last end, or the last such run, until the next such run.
+    /// Time from the last end or the last probe run until the next probe run.
     pub probe_after: Duration,
-    /// Time without a request of a content after which it is forgotten.
+    /// Time without a request after which a content is forgotten.
     pub memory: Duration,
-    /// Contents that are remembered at most.
+    /// Maximum number of contents remembered.
     pub max_contents: usize,
 }
 
--- a/crates/quarantine/src/report.rs
+++ b/crates/quarantine/src/report.rs
@@ -1,4 +1,5 @@
-//! What nodes tell each other of a content. Their clocks differ, so they tell ages.
+//! Reports on suspected contents, exchanged between nodes. They contain ages instead of times, because
+//! the clocks of the nodes differ.
 
 use std::time::Duration;
 
@@ -7,65 +8,65 @@
 
 use crate::content::SuspectedContent;
 
-/// An age in whole milliseconds.
+/// Age in whole milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Age(pub u32);
 
 impl Age {
-    /// The age at `now` of what was at `then`.
+    /// Age at `now` of an event at `then`.
     pub fn of(then: Moment, now: Moment) -> Self {
         Age(u32::try_from(now.since(then).as_millis()).unwrap_or(u32::MAX))
     }
 
-    /// When it was, for a node whose clock says `now`.
+    /// Time of the event, on a clock that reads `now`.
     pub fn before(self, now: Moment) -> Moment {
         now.saturating_sub(Duration::from_millis(u64::from(self.0)))
     }
 }
 
-/// A run of a content with which its instance ended.
+/// Run of a request during which its instance ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FatalRun {
-    /// When the instance ended.
+    /// Time at which the instance ended.
     pub ended: Moment,
-    /// When the run began.
+    /// Time at which the run began.
     pub began: Moment,
 }
 
-/// An instance that ended with the content at work in it.
+/// End of an instance that was executing the content.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ReportedEnd {
-    /// Name of this start of the instance; it never comes again.
+    /// Name of this start of the instance, which is never reused.
     pub instance: InstanceName,
-    /// How long ago it ended.
+    /// Time since the instance ended.
     pub ended: Age,
-    /// How long ago the run began.
+    /// Time since the run began.
     pub began: Age,
 }
 
 impl ReportedEnd {
-    /// What is told at `now` of the end of `instance`.
+    /// Report of the end of `instance`, made at `now`.
     pub fn of(instance: &InstanceName, run: FatalRun, now: Moment) -> Self {
         ReportedEnd { instance: instance.clone(), ended: Age::of(run.ended, now), began: Age::of(run.began, now) }
     }
 
-    /// The run, for a node whose clock says `now`.
+    /// The run, with times on a clock that reads `now`.
     pub fn run(&self, now: Moment) -> FatalRun {
         FatalRun { ended: self.ended.before(now), began: self.began.before(now) }
     }
 }
 
-/// What a node knows of a content.
+/// Knowledge of one node about a content.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SuspectReport {
     /// The content.
     pub content: SuspectedContent,
-    /// The instances that ended with it since it was answered last.
+    /// Instances that have ended with it since its last answer.
     pub ends: Vec<ReportedEnd>,
-    /// When an instance answered it last, as far as that is known.
+    /// Age of its last answer by an instance, if known.
     pub answered: Option<Age>,
-    /// When it was last let run to see whether it clears itself.
+    /// Age of its last probe run.
     pub probed: Option<Age>,
-    /// When a request of it came last.
+    /// Age of its last request.
     pub seen: Age,
 }
--- a/crates/quarantine/src/suspect.rs
+++ b/crates/quarantine/src/suspect.rs
@@ -1,4 +1,4 @@
-//! What is known of one content.
+//! State of one suspected content.
 
 use std::time::Duration;
 
@@ -8,59 +8,66 @@
 use crate::policy::QuarantinePolicy;
 use crate::report::{Age, FatalRun, ReportedEnd, SuspectReport};
 
-/// By how much the times that two nodes tell of may be off against each other: the way of a datagram.
-const TOLD_LATE: Duration = Duration::from_millis(10);
-/// Ends that are remembered of one content: more change nothing.
-const MOST_ENDS: usize = 8;
-/// Time for which it is remembered that a content was answered: reports of earlier ends may still
-/// be on their way.
-const ANSWERED_MEMORY: Duration = Duration::from_secs(60);
+/// Maximum difference between the times that two nodes report for one event: the transit time of a
+/// datagram.
+const MAX_TIME_ERROR: Duration = Duration::from_millis(10);
+/// Maximum number of ends remembered per content: more would not change the restriction.
+const MAX_ENDS: usize = 8;
+/// Time for which a cleared content is kept: reports of ends before its answer may still arrive.
+const ANSWERED_RETENTION: Duration = Duration::from_secs(60);
 
-/// What follows from the ends of a content.
+/// Restriction that follows from the ends of a content, from the least to the most strict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Consequence {
-    /// Nothing.
+pub(crate) enum Restriction {
+    /// No restriction.
     None,
-    /// It runs alone.
-    Alone,
-    /// It is held, but for a run once in a while.
+    /// Runs only while no other suspect runs at the same instance.
+    Isolated,
+    /// Held, except for occasional probe runs.
     Held,
-    /// It is held.
-    HeldForGood,
+    /// Held without probe runs.
+    HeldWithoutProbes,
 }
 
-/// One content under suspicion, or lately cleared.
+/// A suspected or recently cleared content.
 #[derive(Debug, Clone)]
 pub(crate) struct Suspect {
-    /// Instances that ended with it at work, the earliest first.
+    /// Instances that ended while executing it, earliest first.
     ends: Vec<(FatalRun, InstanceName)>,
-    /// Digest of its beginning, where its body came as a stream.
+    /// Digest of its prefix, if its body was streamed.
     pub(crate) prefix: Option<ContentDigest>,
-    /// Instances are known to have answered it.
+    /// True when instances are known to have answered it.
     was_answered: bool,
-    answered: Option<Moment>,
-    probed: Option<Moment>,
-    seen: Moment,
+    last_answered: Option<Moment>,
+    last_probed: Option<Moment>,
+    last_seen: Moment,
 }
 
 impl Suspect {
     pub(crate) fn new(now: Moment) -> Self {
-        Suspect { ends: Vec::new(), prefix: None, was_answered: false, answered: None, probed: None, seen: now }
+        Suspect {
+            ends: Vec::new(),
+            prefix: None,
+            was_answered: false,
+            last_answered: None,
+            last_probed: None,
+            last_seen: now,
+        }
     }
 
-    /// True when nothing is held against it.
+    /// True when no end is recorded.
     pub(crate) fn is_clear(&self) -> bool {
         self.ends.is_empty()
     }
 
-    /// Ends that count: each of a run that began after the end that counted before it, and ended
-    /// later. A cause from outside strikes many instances at once, and what all of them were running
-    /// has no part in it.
+    /// Number of ends that count: an end counts if its run began after the previous counted end, and ended
+    /// later than that. An external cause ends many instances at once, and the contents that they were
+    /// executing are not to blame.
     pub(crate) fn counted_ends(&self) -> u32 {
         let mut counted = 0;
         let mut last: Option<Moment> = None;
         for (run, _) in &self.ends {
-            let is_later = |last: Moment| run.began + TOLD_LATE >= last && run.ended >= last + TOLD_LATE;
+            let is_later = |last: Moment| run.began + MAX_TIME_ERROR >= last && run.ended >= last + MAX_TIME_ERROR;
             if last.is_none_or(is_later) {
                 counted += 1;
                 last = Some(run.ended);
@@ -69,91 +76,92 @@
         counted
     }
 
-    /// Ends that it takes to hold it.
+    /// Number of ends after which it is held.
     fn held_after(&self, policy: &QuarantinePolicy) -> u32 {
         policy.held_after + if self.was_answered { policy.extra_if_answered } else { 0 }
     }
 
-    /// Ends that it takes to hold it for good.
+    /// Number of ends after which it is held without probe runs.
     fn refused_after(&self, policy: &QuarantinePolicy) -> u32 {
         policy.refused_after + if self.was_answered { policy.extra_if_answered } else { 0 }
     }
 
-    /// What follows from its ends.
-    pub(crate) fn consequence(&self, policy: &QuarantinePolicy) -> Consequence {
+    /// Restriction that follows from its ends.
+    pub(crate) fn restriction(&self, policy: &QuarantinePolicy) -> Restriction {
         match self.counted_ends() {
-            0 => Consequence::None,
-            ends if ends < self.held_after(policy) => Consequence::Alone,
-            ends if ends < self.refused_after(policy) => Consequence::Held,
-            _ => Consequence::HeldForGood,
+            0 => Restriction::None,
+            ends if ends < self.held_after(policy) => Restriction::Isolated,
+            ends if ends < self.refused_after(policy) => Restriction::Held,
+            _ => Restriction::HeldWithoutProbes,
         }
     }
 
-    /// Takes over what is known of its content.
+    /// Merges what is known about its content.
     pub(crate) fn note_content(&mut self, content: &SuspectedContent) {
         self.prefix = self.prefix.or(content.prefix);
         self.was_answered |= content.was_answered;
     }
 
-    /// When the first of the ends was.
+    /// Time of the first recorded end.
     pub(crate) fn first_end(&self) -> Option<Moment> {
         self.ends.first().map(|(run, _)| run.ended)
     }
 
-    /// Its place when room is needed: those with few ends go first, then those not seen for long.
-    pub(crate) fn weight(&self) -> (u32, Moment) {
-        (self.counted_ends(), self.seen)
+    /// Rank in the order of eviction: fewest ends first, then longest unseen.
+    pub(crate) fn eviction_rank(&self) -> (u32, Moment) {
+        (self.counted_ends(), self.last_seen)
     }
 
-    /// Notes that an instance ended with it. True when that is news.
+    /// Records the end of an instance that was executing it. True when the end is new.
     pub(crate) fn note_end(&mut self, instance: &InstanceName, run: FatalRun) -> bool {
-        if self.answered.is_some_and(|answered| answered >= run.ended) {
+        if self.last_answered.is_some_and(|answered| answered >= run.ended) {
             return false;
         }
         if let Some((known, _)) = self.ends.iter_mut().find(|(_, known)| known == instance) {
-            // Several requests of one content were in it: the first of them shows the least.
+            // The instance was executing several requests of this content: the earliest run is the
+            // weakest evidence against it.
             known.began = known.began.min(run.began);
             return false;
         }
         let place = self.ends.partition_point(|(earlier, _)| *earlier <= run);
         self.ends.insert(place, (run, instance.clone()));
-        if self.ends.len() > MOST_ENDS {
+        if self.ends.len() > MAX_ENDS {
             self.ends.remove(0);
         }
         true
     }
 
-    /// Notes that an instance answered it. True when that clears it of something.
+    /// Records an answer by an instance. True when that clears any ends.
     pub(crate) fn note_answered(&mut self, at: Moment) -> bool {
         let before = self.ends.len();
         self.was_answered = true;
-        self.answered = self.answered.max(Some(at));
+        self.last_answered = self.last_answered.max(Some(at));
         self.ends.retain(|(run, _)| run.ended > at);
         self.ends.len() < before
     }
 
     pub(crate) fn note_seen(&mut self, at: Moment) {
-        self.seen = self.seen.max(at);
+        self.last_seen = self.last_seen.max(at);
     }
 
     pub(crate) fn note_probed(&mut self, at: Moment) {
-        self.probed = self.probed.max(Some(at));
+        self.last_probed = self.last_probed.max(Some(at));
     }
 
-    /// When it may next be let run to see whether it clears itself.
+    /// Earliest time of the next probe run.
     pub(crate) fn next_probe(&self, policy: &QuarantinePolicy) -> Moment {
-        self.last_end().max(self.probed).unwrap_or_default() + policy.probe_after
+        self.last_end().max(self.last_probed).unwrap_or_default() + policy.probe_after
     }
 
     fn last_end(&self) -> Option<Moment> {
         self.ends.last().map(|(run, _)| run.ended)
     }
 
-    /// True when it may be forgotten.
-    pub(crate) fn is_over(&self, policy: &QuarantinePolicy, now: Moment) -> bool {
-        let memory = if self.is_clear() { ANSWERED_MEMORY.min(policy.memory) } else { policy.memory };
-        let last = Some(self.seen).max(self.last_end()).max(self.answered);
-        now.since(last.unwrap_or_default()) >= memory
+    /// True once its retention time has passed.
+    pub(crate) fn is_expired(&self, policy: &QuarantinePolicy, now: Moment) -> bool {
+        let retention = if self.is_clear() { ANSWERED_RETENTION.min(policy.memory) } else { policy.memory };
+        let last = Some(self.last_seen).max(self.last_end()).max(self.last_answered);
+        now.since(last.unwrap_or_default()) >= retention
     }
 
     pub(crate) fn report(&self, digest: ContentDigest, now: Moment) -> SuspectReport {
@@ -161,26 +169,26 @@
         SuspectReport {
             content: SuspectedContent { digest, prefix: self.prefix, was_answered: self.was_answered },
             ends: ends.collect(),
-            answered: self.answered.map(|at| Age::of(at, now)),
-            probed: self.probed.map(|at| Age::of(at, now)),
-            seen: Age::of(self.seen, now),
+            answered: self.last_answered.map(|at| Age::of(at, now)),
+            probed: self.last_probed.map(|at| Age::of(at, now)),
+            seen: Age::of(self.last_seen, now),
         }
     }
 
-    /// Takes over what another node knows. True when that changes what follows for a request.
+    /// Merges the report of another node. True when that adds or clears ends.
     pub(crate) fn merge(&mut self, report: &SuspectReport, now: Moment) -> bool {
         self.note_seen(report.seen.before(now));
         self.note_content(&report.content);
         if let Some(probed) = report.probed {
             self.note_probed(probed.before(now));
         }
-        let mut is_news = false;
+        let mut is_new = false;
         if let Some(answered) = report.answered {
-            is_news |= self.note_answered(answered.before(now));
+            is_new |= self.note_answered(answered.before(now));
         }
-        for end in report.ends.iter().take(MOST_ENDS) {
-            is_news |= self.note_end(&end.instance, end.run(now));
+        for end in report.ends.iter().take(MAX_ENDS) {
+            is_new |= self.note_end(&end.instance, end.run(now));
         }
-        is_news
+        is_new
     }
 }
--- a/crates/quarantine/src/suspects.rs
+++ b/crates/quarantine/src/suspects.rs
@@ -1,4 +1,4 @@
-//! The contents that are suspected, and what follows for a request.
+//! The suspected contents, and the decision on a request.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,55 +8,57 @@
 use crate::content::{ContentDigest, SuspectedContent};
 use crate::policy::QuarantinePolicy;
 use crate::report::{FatalRun, SuspectReport};
-use crate::suspect::{Consequence, Suspect};
+use crate::suspect::{Restriction, Suspect};
 
-/// What follows for a request.
+/// Decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// Nothing is held against it.
+    /// It is not suspected.
     Allowed,
     /// It may run while no other suspect runs at the same instance.
     Isolated,
-    /// It is held, but this one run of it may show that it is innocent; alone as well.
+    /// Its content is held, but this probe run may clear it; as with `Isolated`, no other suspect may run.
     Probe,
-    /// It may not run.
+    /// It must not run.
     Held {
-        /// When it may be let run again at the earliest, if nothing new is held against it.
+        /// Minimum delay until it may run again, if no further end is recorded.
         retry_after: Duration,
     },
 }
 
-/// The contents that a node suspects.
+/// Contents that a node suspects or has recently cleared.
 #[derive(Debug, Default)]
 pub struct Suspects {
     contents: HashMap<ContentDigest, Suspect>,
 }
 
-/// A suspect as operators see it.
+/// State of a suspect, for log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SuspectStatus {
-    /// Ends that count against it.
+    /// Number of ends that count.
     pub ends: u32,
-    /// Time since the first of them.
+    /// Time since the first recorded end.
     pub age: Duration,
     /// True when it is held.
     pub is_held: bool,
 }
 
 impl Suspects {
-    /// True when nothing is remembered: requests need not be looked at.
+    /// True when no content is remembered, so that requests need no check.
     pub fn is_empty(&self) -> bool {
         self.contents.is_empty()
     }
 
-    /// Contents that something is held against, and those of them that are held.
+    /// Number of restricted contents, and the number of those that are held.
     pub fn counts(&self, policy: &QuarantinePolicy) -> (usize, usize) {
-        let found = self.contents.values().map(|suspect| suspect.consequence(policy));
-        let suspected = found.filter(|found| *found > Consequence::None);
-        suspected.fold((0, 0), |(all, held), found| (all + 1, held + usize::from(found >= Consequence::Held)))
+        let restrictions = self.contents.values().map(|suspect| suspect.restriction(policy));
+        let suspected = restrictions.filter(|restriction| *restriction > Restriction::None);
+        suspected.fold((0, 0), |(all, held), restriction| {
+            (all + 1, held + usize::from(restriction >= Restriction::Held))
+        })
     }
 
-    /// How a content stands; `None` when nothing is held against it.
+    /// Status of a content; `None` when it is not suspected.
     pub fn status(
         &self,
         policy: &QuarantinePolicy,
@@ -65,12 +67,12 @@
     ) -> Option<SuspectStatus> {
         let suspect = self.contents.get(content)?;
         let first = suspect.first_end()?;
-        let is_held = suspect.consequence(policy) >= Consequence::Held;
+        let is_held = suspect.restriction(policy) >= Restriction::Held;
         Some(SuspectStatus { ends: suspect.counted_ends(), age: now.since(first), is_held })
     }
 
-    /// What follows for a request of `content` that has come. `may_probe` is true on the one node that
-    /// lets a held content run to see whether it clears itself; such a run is noted.
+    /// Decides on a new request with `content`. `may_probe` is true on the one node that makes the probe
+    /// runs of a held content; a probe run is recorded here.
     pub fn decide(
         &mut self,
         policy: &QuarantinePolicy,
@@ -79,17 +81,17 @@
         now: Moment,
     ) -> Decision {
         let Some(suspect) = self.contents.get_mut(content) else { return Decision::Allowed };
-        match suspect.consequence(policy) {
-            Consequence::None => return Decision::Allowed,
-            Consequence::Alone => {
+        match suspect.restriction(policy) {
+            Restriction::None => return Decision::Allowed,
+            Restriction::Isolated => {
                 suspect.note_seen(now);
                 return Decision::Isolated;
             }
-            Consequence::HeldForGood => {
+            Restriction::HeldWithoutProbes => {
                 suspect.note_seen(now);
                 return Decision::Held { retry_after: policy.memory };
             }
-            Consequence::Held => suspect.note_seen(now),
+            Restriction::Held => suspect.note_seen(now),
         }
         let next_probe = suspect.next_probe(policy);
         if may_probe && now >= next_probe {
@@ -99,32 +101,34 @@
         Decision::Held { retry_after: next_probe.since(now).max(Duration::from_secs(1)) }
     }
 
-    /// True when a content whose body came as a stream is suspected.
+    /// True when a content with a streamed body is suspected.
     pub fn has_streamed(&self) -> bool {
         self.contents.values().any(|suspect| suspect.prefix.is_some() && !suspect.is_clear())
     }
 
-    /// True when a suspected content begins like this.
-    pub fn matches_prefix(&self, beginning: &ContentDigest) -> bool {
-        self.beginning_with(beginning).next().is_some()
+    /// True when a suspected content has this prefix.
+    pub fn matches_prefix(&self, prefix: &ContentDigest) -> bool {
+        self.with_prefix(prefix).next().is_some()
     }
 
-    /// What follows for a request of which only the beginning is known.
-    pub fn decide_by_prefix(&self, policy: &QuarantinePolicy, beginning: &ContentDigest) -> Decision {
-        let found = self.beginning_with(beginning).map(|suspect| suspect.consequence(policy)).max();
-        match found.unwrap_or(Consequence::None) {
-            Consequence::None => Decision::Allowed,
-            Consequence::Alone => Decision::Isolated,
-            Consequence::Held | Consequence::HeldForGood => Decision::Held { retry_after: policy.probe_after },
+    /// Decides on a request of which only the prefix is known.
+    pub fn decide_by_prefix(&self, policy: &QuarantinePolicy, prefix: &ContentDigest) -> Decision {
+        let strictest = self.with_prefix(prefix).map(|suspect| suspect.restriction(policy)).max();
+        match strictest.unwrap_or(Restriction::None) {
+            Restriction::None => Decision::Allowed,
+            Restriction::Isolated => Decision::Isolated,
+            Restriction::Held | Restriction::HeldWithoutProbes => {
+                Decision::Held { retry_after: policy.probe_after }
+            }
         }
     }
 
-    fn beginning_with(&self, beginning: &ContentDigest) -> impl Iterator<Item = &Suspect> {
+    fn with_prefix(&self, prefix: &ContentDigest) -> impl Iterator<Item = &Suspect> {
         let suspects = self.contents.values().filter(|suspect| !suspect.is_clear());
-        suspects.filter(move |suspect| suspect.prefix.as_ref() == Some(beginning))
+        suspects.filter(move |suspect| suspect.prefix.as_ref() == Some(prefix))
     }
 
-    /// Notes that `instance` ended with a run of `content`. True when that is news.
+    /// Records that `instance` ended during a run of `content`. True when the end is new.
     pub fn note_end(
         &mut self,
         policy: &QuarantinePolicy,
@@ -134,47 +138,47 @@
     ) -> bool {
         let suspect = self.contents.entry(content.digest).or_insert_with(|| Suspect::new(run.ended));
         suspect.note_content(&content);
-        let is_news = suspect.note_end(instance, run);
-        self.make_room(policy);
-        is_news
+        let is_new = suspect.note_end(instance, run);
+        self.evict_excess(policy);
+        is_new
     }
 
-    /// Notes that an instance answered a request of `content`. True when that clears it.
+    /// Records that an instance answered a request with `content`. True when that clears any ends.
     pub fn note_answered(&mut self, content: &ContentDigest, now: Moment) -> bool {
         self.contents.get_mut(content).is_some_and(|suspect| suspect.note_answered(now))
     }
 
-    /// Takes over what another node knows. True when that is news which changes what follows.
+    /// Merges the report of another node. True when that adds or clears ends.
     pub fn merge(&mut self, policy: &QuarantinePolicy, report: &SuspectReport, now: Moment) -> bool {
         let known = self.contents.get_mut(&report.content.digest);
-        let is_news = match known {
+        let is_new = match known {
             Some(suspect) => suspect.merge(report, now),
             None => {
                 let mut suspect = Suspect::new(report.seen.before(now));
-                let is_news = suspect.merge(report, now);
-                if !suspect.is_over(policy, now) {
+                let is_new = suspect.merge(report, now);
+                if !suspect.is_expired(policy, now) {
                     self.contents.insert(report.content.digest, suspect);
                 }
-                is_news
+                is_new
             }
         };
-        self.make_room(policy);
-        is_news
+        self.evict_excess(policy);
+        is_new
     }
 
-    /// What is known of `content`, to be told.
+    /// Report on `content` for other nodes.
     pub fn report(&self, content: &ContentDigest, now: Moment) -> Option<SuspectReport> {
         self.contents.get(content).map(|suspect| suspect.report(*content, now))
     }
 
-    /// All contents that are remembered, in a fixed order.
+    /// All remembered contents, in a fixed order.
     pub fn contents(&self) -> Vec<ContentDigest> {
         self.contents_where(|_| true)
     }
 
-    /// Those that are held.
+    /// Contents that are held, in a fixed order.
     pub fn held_contents(&self, policy: &QuarantinePolicy) -> Vec<ContentDigest> {
-        self.contents_where(|suspect| suspect.consequence(policy) >= Consequence::Held)
+        self.contents_where(|suspect| suspect.restriction(policy) >= Restriction::Held)
     }
 
     fn contents_where(&self, is_wanted: impl Fn(&Suspect) -> bool) -> Vec<ContentDigest> {
@@ -184,16 +188,17 @@
         contents
     }
 
-    /// Forgets what is over.
+    /// Removes contents whose retention time has passed.
     pub fn expire(&mut self, policy: &QuarantinePolicy, now: Moment) {
-        self.contents.retain(|_, suspect| !suspect.is_over(policy, now));
+        self.contents.retain(|_, suspect| !suspect.is_expired(policy, now));
     }
 
-    fn make_room(&mut self, policy: &QuarantinePolicy) {
+    fn evict_excess(&mut self, policy: &QuarantinePolicy) {
         while self.contents.len() > policy.max_contents {
-            let least = self.contents.iter().min_by_key(|(content, suspect)| (suspect.weight(), **content));
-            let Some(least) = least.map(|(content, _)| *content) else { return };
-            self.contents.remove(&least);
+            let evicted =
+                self.contents.iter().min_by_key(|(content, suspect)| (suspect.eviction_rank(), **content));
+            let Some(evicted) = evicted.map(|(content, _)| *content) else { return };
+            self.contents.remove(&evicted);
         }
     }
 }
--- a/crates/quarantine/tests/suspects.rs
+++ b/crates/quarantine/tests/suspects.rs
@@ -1,5 +1,5 @@
-//! What follows for a request, against a simple oracle: all that ever happened to a content, looked
-//! through anew for each question.
+//! Quarantine decisions, checked against a simple oracle that keeps the full history of a content and
+//! evaluates it anew for each request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     ContentDigest::of(b"GET", &[b'/', number], b"desk", b"")
 }
 
-fn whole(number: u8) -> SuspectedContent {
+fn suspected(number: u8) -> SuspectedContent {
     SuspectedContent { digest: content(number), prefix: None, was_answered: false }
 }
 
@@ -43,12 +43,12 @@
 fn after_ends(ends: &[u64]) -> Suspects {
     let mut suspects = Suspects::default();
     for (number, ended) in ends.iter().enumerate() {
-        suspects.note_end(&POLICY, whole(0), &instance(number), fatal(*ended));
+        suspects.note_end(&POLICY, suspected(0), &instance(number), fatal(*ended));
     }
     suspects
 }
 
-fn judge(suspects: &mut Suspects, may_probe: bool, millis: u64) -> Decision {
+fn decide(suspects: &mut Suspects, may_probe: bool, millis: u64) -> Decision {
     suspects.decide(&POLICY, &content(0), may_probe, at(millis))
 }
 
@@ -57,21 +57,24 @@
 #[case::one_end(&[100], Decision::Isolated)]
 #[case::two(&[100, 200], Decision::Held { retry_after: Duration::from_millis(29_200) })]
 #[case::three(&[100, 200, 300], Decision::Held { retry_after: Duration::from_secs(600) })]
-#[case::all_struck_at_once(&[100, 100, 101, 103], Decision::Isolated)]
+#[case::all_at_once(&[100, 100, 101, 103], Decision::Isolated)]
 #[case::begun_before_the_first_end(&[100, 120, 125], Decision::Isolated)]
 #[case::begun_just_before(&[100, 105, 109], Decision::Isolated)]
-fn ends_lead_to_what_follows(#[case] ends: &[u64], #[case] expected: Decision) {
-    assert_eq!(judge(&mut after_ends(ends), true, 1_000), expected);
+fn ends_determine_the_decision(#[case] ends: &[u64], #[case] expected: Decision) {
+    assert_eq!(decide(&mut after_ends(ends), true, 1_000), expected);
 }
 
 #[rstest]
 fn a_run_that_is_answered_clears_its_content() {
     let mut suspects = after_ends(&[100, 200]);
     assert!(suspects.note_answered(&content(0), at(300)));
-    assert_eq!(judge(&mut suspects, false, 400), Decision::Allowed);
-    assert!(!suspects.note_end(&POLICY, whole(0), &instance(7), fatal(250)), "told late of an earlier end");
-    assert!(suspects.note_end(&POLICY, whole(0), &instance(8), fatal(500)));
-    assert_eq!(judge(&mut suspects, false, 600), Decision::Isolated);
+    assert_eq!(decide(&mut suspects, false, 400), Decision::Allowed);
+    assert!(
+        !suspects.note_end(&POLICY, suspected(0), &instance(7), fatal(250)),
+        "late report of an end before the answer"
+    );
+    assert!(suspects.note_end(&POLICY, suspected(0), &instance(8), fatal(500)));
+    assert_eq!(decide(&mut suspects, false, 600), Decision::Isolated);
 }
 
 #[rstest]
@@ -81,46 +84,46 @@
 fn a_content_that_was_answered_before_takes_more_ends(#[case] ends: &[u64], #[case] expected: Decision) {
     let mut suspects = Suspects::default();
     for (number, ended) in ends.iter().enumerate() {
-        let known = SuspectedContent { was_answered: number == 0, ..whole(0) };
+        let known = SuspectedContent { was_answered: number == 0, ..suspected(0) };
         suspects.note_end(&POLICY, known, &instance(number), fatal(*ended));
     }
-    assert_eq!(judge(&mut suspects, true, 1_000), expected);
+    assert_eq!(decide(&mut suspects, true, 1_000), expected);
 }
 
 #[rstest]
 fn one_node_lets_a_held_content_run_once_in_a_while() {
     let mut suspects = after_ends(&[100, 200]);
-    assert!(matches!(judge(&mut suspects, true, 30_100), Decision::Held { .. }));
-    assert!(matches!(judge(&mut suspects, false, 30_300), Decision::Held { .. }));
-    assert_eq!(judge(&mut suspects, true, 30_300), Decision::Probe);
-    assert!(matches!(judge(&mut suspects, true, 30_400), Decision::Held { .. }));
-    assert_eq!(judge(&mut suspects, true, 60_400), Decision::Probe);
-    suspects.note_end(&POLICY, whole(0), &instance(9), fatal(60_500));
-    assert!(matches!(judge(&mut suspects, true, 500_000), Decision::Held { .. }), "held for good");
+    assert!(matches!(decide(&mut suspects, true, 30_100), Decision::Held { .. }));
+    assert!(matches!(decide(&mut suspects, false, 30_300), Decision::Held { .. }));
+    assert_eq!(decide(&mut suspects, true, 30_300), Decision::Probe);
+    assert!(matches!(decide(&mut suspects, true, 30_400), Decision::Held { .. }));
+    assert_eq!(decide(&mut suspects, true, 60_400), Decision::Probe);
+    suspects.note_end(&POLICY, suspected(0), &instance(9), fatal(60_500));
+    assert!(matches!(decide(&mut suspects, true, 500_000), Decision::Held { .. }), "held without probe runs");
 }
 
 #[rstest]
-fn what_keeps_coming_is_not_forgotten_and_what_does_not_is() {
+fn contents_expire_only_once_they_stop_arriving() {
     let mut suspects = after_ends(&[100, 200, 300]);
     for second in (0..1_800).step_by(300) {
         suspects.expire(&POLICY, at(second * 1_000));
-        assert!(matches!(judge(&mut suspects, false, second * 1_000), Decision::Held { .. }), "after {second} s");
+        assert!(matches!(decide(&mut suspects, false, second * 1_000), Decision::Held { .. }), "after {second} s");
     }
     suspects.expire(&POLICY, at((1_500 + 600) * 1_000));
     assert!(suspects.is_empty());
 }
 
 #[rstest]
-fn those_with_the_most_ends_stay_when_room_is_short() {
+fn contents_with_the_most_ends_are_kept_when_full() {
     let policy = QuarantinePolicy { max_contents: 3, ..POLICY };
     let mut suspects = Suspects::default();
-    suspects.note_end(&policy, whole(0), &instance(0), fatal(100));
-    suspects.note_end(&policy, whole(0), &instance(1), fatal(200));
+    suspects.note_end(&policy, suspected(0), &instance(0), fatal(100));
+    suspects.note_end(&policy, suspected(0), &instance(1), fatal(200));
     for number in 1..=50 {
-        suspects.note_end(&policy, whole(number), &instance(2), fatal(300 + u64::from(number)));
+        suspects.note_end(&policy, suspected(number), &instance(2), fatal(300 + u64::from(number)));
     }
     assert_eq!(suspects.contents().len(), 3);
-    assert!(matches!(judge(&mut suspects, false, 1_000), Decision::Held { .. }));
+    assert!(matches!(decide(&mut suspects, false, 1_000), Decision::Held { .. }));
 }
 
 #[rstest]
@@ -141,13 +144,13 @@
     assert_ne!(ContentDigest::of(method, target, caller, body), known);
 }
 
-/// What happens to one content at one node; times rise.
+/// Event for one content at one node, in order of time.
 #[derive(Debug, Clone)]
 enum Event {
     Pause(u64),
     Ended { instance: usize, ran: u64 },
     Answered,
-    Asked { may_probe: bool },
+    Request { may_probe: bool },
 }
 
 fn events() -> impl Strategy<Value = Vec<Event>> {
@@ -155,12 +158,12 @@
         3 => prop_oneof![0u64..60, 0u64..50_000].prop_map(Event::Pause),
         3 => (0usize..6, 0u64..200).prop_map(|(instance, ran)| Event::Ended { instance, ran }),
         1 => Just(Event::Answered),
-        4 => any::<bool>().prop_map(|may_probe| Event::Asked { may_probe }),
+        4 => any::<bool>().prop_map(|may_probe| Event::Request { may_probe }),
     ];
     prop::collection::vec(event, 1..60)
 }
 
-/// All that happened; answers each question from the whole of it.
+/// Full history of a content, from which each decision is computed.
 #[derive(Default)]
 struct Oracle {
     ends: Vec<(u64, u64, usize)>,
@@ -171,7 +174,7 @@
 impl Oracle {
     fn counted(&self) -> (u32, u64) {
         let cleared = self.answers.iter().max().copied();
-        // By instance: when it was first seen to end since, and the earliest run that is told of it.
+        // By instance: the first reported end since the answer, and the earliest run reported for it.
         let mut by_instance: BTreeMap<usize, (u64, u64)> = BTreeMap::new();
         for (ended, began, instance) in &self.ends {
             if cleared.is_none_or(|cleared| *ended > cleared) {
@@ -191,15 +194,15 @@
         (counted, ends.last().map_or(0, |(ended, _)| *ended))
     }
 
-    fn ask(&mut self, may_probe: bool, now: u64) -> &'static str {
+    fn decide(&mut self, may_probe: bool, now: u64) -> &'static str {
         let (counted, last_end) = self.counted();
         let next = last_end.max(self.probes.iter().max().copied().unwrap_or(0)) + 30_000;
-        // Once answered, it takes two ends more.
+        // An answered content needs two more ends.
         let counted =
             if self.answers.is_empty() || counted == 0 { counted } else { counted.saturating_sub(2).max(1) };
         match counted {
-            0 => "free",
-            1 => "alone",
+            0 => "allowed",
+            1 => "isolated",
             2 if may_probe && now >= next => {
                 self.probes.push(now);
                 "probe"
@@ -209,17 +212,17 @@
     }
 }
 
-fn name_of(verdict: Decision) -> &'static str {
-    match verdict {
-        Decision::Allowed => "free",
-        Decision::Isolated => "alone",
+fn name_of(decision: Decision) -> &'static str {
+    match decision {
+        Decision::Allowed => "allowed",
+        Decision::Isolated => "isolated",
         Decision::Probe => "probe",
         Decision::Held { .. } => "held",
     }
 }
 
 proptest! {
-    /// At one node, whatever happens in whatever order.
+    /// The decisions of one node match the oracle for any sequence of events.
     #[test]
     fn one_node_follows_the_oracle(events in events()) {
         let mut suspects = Suspects::default();
@@ -230,53 +233,53 @@
                 Event::Pause(millis) => now += millis,
                 Event::Ended { instance: number, ran } => {
                     let run = FatalRun { ended: Moment::from_millis(now), began: Moment::from_millis(now - ran) };
-                    suspects.note_end(&POLICY, whole(0), &instance(number), run);
+                    suspects.note_end(&POLICY, suspected(0), &instance(number), run);
                     oracle.ends.push((now, now - ran, number));
                 }
                 Event::Answered => {
                     suspects.note_answered(&content(0), Moment::from_millis(now));
-                    // Who knows of no suspect remembers no answer.
+                    // An answer is remembered only for a suspect.
                     if !oracle.ends.is_empty() {
                         oracle.answers.push(now);
                     }
                 }
-                Event::Asked { may_probe } => {
-                    let verdict = suspects.decide(&POLICY, &content(0), may_probe, Moment::from_millis(now));
-                    prop_assert_eq!(name_of(verdict), oracle.ask(may_probe, now), "at {}", now - START);
+                Event::Request { may_probe } => {
+                    let decision = suspects.decide(&POLICY, &content(0), may_probe, Moment::from_millis(now));
+                    prop_assert_eq!(name_of(decision), oracle.decide(may_probe, now), "at {}", now - START);
                 }
             }
         }
     }
 
-    /// Nodes that hear the same reports, in any order and some twice, come to the same end, whatever
-    /// their clocks say; and no report makes a content guilty that no end was told of.
+    /// Nodes that receive the same reports, in any order and repeatedly, reach the same decision whatever
+    /// their clocks read. A content without a reported end stays allowed.
     #[test]
-    fn nodes_that_heard_the_same_agree(
-        marks in prop::collection::vec((0u8..3, 0usize..5, 0u64..2_000, 0u64..150), 1..12),
+    fn nodes_with_the_same_reports_agree(
+        ends in prop::collection::vec((0u8..3, 0usize..5, 0u64..2_000, 0u64..150), 1..12),
         answers in prop::collection::vec((0u8..3, 0u64..2_000), 0..3),
         order in any::<u64>(),
         skew in 0u64..1_000_000,
     ) {
         let mut reports = Vec::new();
-        for (number, ended_on, ended, ran) in &marks {
-            let mut witness = Suspects::default();
+        for (number, instance_number, ended, ran) in &ends {
+            let mut reporter = Suspects::default();
             let run = FatalRun { ended: at(*ended), began: at(ended.saturating_sub(*ran)) };
-            witness.note_end(&POLICY, whole(*number), &instance(*ended_on), run);
-            reports.push(witness.report(&content(*number), at(3_000)).unwrap());
+            reporter.note_end(&POLICY, suspected(*number), &instance(*instance_number), run);
+            reports.push(reporter.report(&content(*number), at(3_000)).unwrap());
         }
         for (number, answered) in &answers {
             let mut report = reports[0].clone();
-            report.content = whole(*number);
+            report.content = suspected(*number);
             report.ends.clear();
             report.answered = Some(Age::of(at(*answered), at(3_000)));
             reports.push(report);
         }
-        // An instance ends once: later words of the same end are no other one.
-        let mut first_words = Vec::new();
+        // An instance ends only once: further reports of the same end are left out.
+        let mut reported_ends = Vec::new();
         reports.retain(|report| {
-            let word = report.ends.first().map(|end| (report.content, end.instance.clone()));
-            let is_new = word.as_ref().is_none_or(|word| !first_words.contains(word));
-            first_words.extend(word);
+            let key = report.ends.first().map(|end| (report.content, end.instance.clone()));
+            let is_new = key.as_ref().is_none_or(|key| !reported_ends.contains(key));
+            reported_ends.extend(key);
             is_new
         });
         let mut shuffled = reports.clone();
@@ -285,19 +288,19 @@
             shuffled.swap(index, other);
         }
         let (mut left, mut right) = (Suspects::default(), Suspects::default());
-        let there = Moment::from_millis(START + 3_000 + skew);
+        let other_now = Moment::from_millis(START + 3_000 + skew);
         for report in &reports {
             left.merge(&POLICY, report, at(3_000));
         }
         for report in shuffled.iter().chain(&reports) {
-            right.merge(&POLICY, report, there);
+            right.merge(&POLICY, report, other_now);
         }
         for number in 0..3 {
             let left = left.decide(&POLICY, &content(number), false, at(3_000));
-            let right = right.decide(&POLICY, &content(number), false, there);
+            let right = right.decide(&POLICY, &content(number), false, other_now);
             prop_assert_eq!(left, right);
-            let is_told = marks.iter().any(|(marked, ..)| *marked == number);
-            prop_assert!(is_told || left == Decision::Allowed);
+            let has_end = ends.iter().any(|(reported, ..)| *reported == number);
+            prop_assert!(has_end || left == Decision::Allowed);
         }
     }
 }
