--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -63,7 +63,7 @@
 use presence::reply_for_absent;
 use quarantine::run_content::RunContent;
 use quarantine::watched_run::WatchedRun;
-use quarantine::{Entry, GateQuarantine};
+use quarantine::{GateQuarantine, RunPermit};
 use repeats::GateRepeats;
 use running::Running;
 use slots::InstanceSlots;
@@ -184,8 +184,8 @@
     // Each try comes under a new id: only its content shows that instances ended with it before. Without
     // this, 17 instances of four ended within 16 s under one client's request.
     let (content, body) = RunContent::of(node, &offer, body);
-    let entry = match node.gate.quarantine.admit(node, &offer, &content).await {
-        Ok(entry) => entry,
+    let permit = match node.gate.quarantine.admit(node, &offer, &content).await {
+        Ok(permit) => permit,
         Err(refusal) => return count_refusal(node, &offer, GateReply::Refused { refusal, successor: None }),
     };
     // What is refused anyway does not wait for who is there.
@@ -204,19 +204,19 @@
     if let Some(reason) = obstacle(node, &offer.instance) {
         return count_refusal(node, &offer, refused(reason, SHORT_RETRY_AFTER));
     }
-    let body = node.gate.quarantine.read_suspected(&content, body).await;
-    let entry = match node.gate.quarantine.admit_to_run(node, &content, entry) {
-        Ok(entry) => entry,
+    let body = node.gate.quarantine.buffer_suspected_body(&content, body).await;
+    let permit = match node.gate.quarantine.admit_to_run(node, &content, permit) {
+        Ok(permit) => permit,
         Err(refusal) => return count_refusal(node, &offer, GateReply::Refused { refusal, successor: None }),
     };
-    run_in_slot(node, offer, body, (content, entry), slot, deadline).await
+    run_in_slot(node, offer, body, (content, permit), slot, deadline).await
 }
 
 async fn run_in_slot(
     node: &Rc<Node>,
     offer: Offer,
     body: Body,
-    (content, entry): (RunContent, Entry),
+    (content, permit): (RunContent, RunPermit),
     mut slot: slot::Slot,
     deadline: Moment,
 ) -> GateReply {
@@ -239,7 +239,7 @@
     let doubts = node.gate.identity.doubts();
     log_start(node, &offer, time_left);
     let parent = Running::begin(&node.lineage, &offer, started + time_left);
-    let mut watched = WatchedRun::begin(node, &offer, content, entry, slots.clone());
+    let mut watched = WatchedRun::begin(node, &offer, content, permit, slots.clone());
     slot.note_sent();
     let running = exchange::run(node, &slots, connection, &offer, body, time_left);
     let limit = clock::instant_of(deadline);
@@ -289,7 +289,8 @@
 }
 
 fn log_failure(node: &Node, offer: &Offer, failure: Failure, used: Duration, content: &RunContent) {
-    let content = if failure.reason == FailureReason::InstanceEnded { content.shown() } else { "none".into() };
+    let content =
+        if failure.reason == FailureReason::InstanceEnded { content.digest_text() } else { "none".into() };
     if node.may_log(LogClass::Failure, &offer.request_id) {
         log::info!(
             "event=exchange_failed request={} route={} instance={} reason={} may_have_run={} after_ms={} \
--- a/crates/sidecar/src/gate/presence.rs
+++ b/crates/sidecar/src/gate/presence.rs
@@ -86,8 +86,8 @@
 /// What it was at work on when it ended may have ended it, also where nobody waited for that any more.
 fn note_end(node: &Node, instance: &InstanceName) {
     let quarantine = &node.gate.quarantine;
-    if quarantine.has_left_runs(instance) {
-        quarantine.on_end_unseen(node, instance, clock::now());
+    if quarantine.has_abandoned_runs(instance) {
+        quarantine.on_unobserved_end(node, instance, clock::now());
     }
 }
 
--- a/crates/sidecar/src/gate/quarantine/evidence.rs
+++ b/crates/sidecar/src/gate/quarantine/evidence.rs
@@ -1,4 +1,5 @@
-//! What the end of an instance, and the answers of one, say of the requests that it ran.
+//! Attributes the end of an instance process to the contents it was running, and clears contents that were
+//! answered.
 
 use olivegate_quarantine::{FatalRun, SuspectedContent};
 use olivegate_types::{InstanceName, Moment};
@@ -11,61 +12,64 @@
 use olivegate_clock as clock;
 
 impl GateQuarantine {
-    /// The instance ended at `ended` with this run. One that was about to leave was not ended by it.
+    /// The instance ended at `ended` while it was executing `run`. Ends of an instance that was already
+    /// leaving are not attributed.
     pub fn on_end(&self, node: &Node, run: &Run, ended: Moment) {
-        self.mark(node, run, ended);
-        for left in self.left.take_of(&run.instance, ended) {
-            self.mark(node, &left, ended);
+        self.suspect(node, run, ended);
+        for abandoned in self.abandoned.take_for(&run.instance, ended) {
+            self.suspect(node, &abandoned, ended);
         }
     }
 
-    /// True when the instance may have ended with a run that nobody waited for any more.
-    pub fn has_left_runs(&self, instance: &InstanceName) -> bool {
-        self.left.any_of(instance, clock::now())
+    /// True when the instance may still have been executing an abandoned run.
+    pub fn has_abandoned_runs(&self, instance: &InstanceName) -> bool {
+        self.abandoned.has_any(instance, clock::now())
     }
 
-    /// The instance ended, and nobody waited for what it ran.
-    pub fn on_end_unseen(&self, node: &Node, instance: &InstanceName, ended: Moment) {
-        for left in self.left.take_of(instance, ended) {
-            self.mark(node, &left, ended);
+    /// The instance ended with no request waiting for it; only abandoned runs can have caused that.
+    pub fn on_unobserved_end(&self, node: &Node, instance: &InstanceName, ended: Moment) {
+        for abandoned in self.abandoned.take_for(instance, ended) {
+            self.suspect(node, &abandoned, ended);
         }
     }
 
-    /// Nobody waits for this run any more; the instance may still be at work on it.
-    pub fn on_left(&self, run: Run) {
-        self.left.note(run, clock::now());
+    /// Nobody waits for this run any more, but the instance may still be executing it.
+    pub fn on_abandoned(&self, run: Run) {
+        self.abandoned.note(run, clock::now());
     }
 
-    fn mark(&self, node: &Node, run: &Run, ended: Moment) {
-        let status = node.cluster.borrow().directory.status(&run.instance);
-        let was_leaving = matches!(status, InstanceStatus::Draining | InstanceStatus::Gone);
+    /// Records the end of the instance against the content of `run`.
+    fn suspect(&self, node: &Node, run: &Run, ended: Moment) {
+        let standing = node.cluster.borrow().directory.status(&run.instance);
+        let was_leaving = matches!(standing, InstanceStatus::Draining | InstanceStatus::Gone);
         let began_later = run.began > ended;
         if was_leaving || began_later {
             return;
         }
         let was_answered = self.answered.contains(&run.content);
         let Some(suspected) = run.content.suspected(was_answered) else { return };
-        self.note_end(node, suspected, &run.start, FatalRun { ended, began: run.began });
+        self.note_end(node, suspected, &run.incarnation_name, FatalRun { ended, began: run.began });
         log::info!(
             "event=content_suspected content={} route={} caller={} instance={} {}",
             suspected.digest,
             run.route,
             run.content.caller(),
             run.instance,
-            self.standing(node, &suspected.digest),
+            self.status_fields(node, &suspected.digest),
         );
     }
 
-    /// Notes that `instance`, by the name of its start, ended with a run of `content`.
+    /// Records that `instance`, given by the name of its incarnation, ended during a run of `content`.
     pub(super) fn note_end(&self, node: &Node, content: SuspectedContent, instance: &InstanceName, run: FatalRun) {
         let policy = node.settings().quarantine;
         if self.suspects.borrow_mut().note_end(&policy, content, instance, run) {
-            self.tell(node, ReportOrigin::Local, content.digest);
+            self.queue_report(node, ReportOrigin::Local, content.digest);
         }
     }
 
-    /// The instance answered this request whole: its content does not end what runs it. A failure
-    /// shows less: it may have come before the point at which the content would have ended it.
+    /// The instance answered this request completely, so the content doesn't end the process that runs it. An
+    /// answer with a 5xx status proves less: the request may have failed before the point at which its
+    /// content would have ended the process.
     pub fn on_answered(&self, node: &Node, content: &RunContent, status: u16) {
         if status >= 500 {
             return;
@@ -81,7 +85,7 @@
         let now = clock::now();
         if self.suspects.borrow_mut().note_answered(&digest, now) {
             log::info!("event=content_cleared content={digest}");
-            self.tell(node, ReportOrigin::Local, digest);
+            self.queue_report(node, ReportOrigin::Local, digest);
         }
     }
 }
--- a/crates/sidecar/src/gate/quarantine/mod.rs
+++ b/crates/sidecar/src/gate/quarantine/mod.rs
@@ -1,14 +1,14 @@
-//! Requests with which instances end: kept from the instance beside this node.
+//! Quarantine of requests that end the instance process running them ("query of death").
 //!
-//! Judged here and not at the edge: each request reaches an instance through its gate, whichever
-//! edge it came by.
+//! The gate enforces it rather than the edge, because every request reaches an instance through the
+//! instance's gate, whichever edge received it.
 //!
-//! - [`admission`]: which requests are let in.
-//! - [`evidence`]: what ends and answers of the instance say of its requests.
-//! - [`reports`]: what gates tell each other.
-//! - [`run_content`]: what makes the request that runs.
-//! - [`watched_run`]: a run that is watched for the end of its instance.
-//! - [`run_history`]: what is remembered of runs that are over.
+//! - [`admission`]: decides whether a request may run.
+//! - [`evidence`]: attributes the end of an instance to the requests it ran, and clears answered ones.
+//! - [`reports`]: exchange of suspected contents with the other gates of the service.
+//! - [`run_content`]: the content that identifies a request.
+//! - [`run_history`]: recently answered contents and abandoned runs.
+//! - [`watched_run`]: watches a run for the end of its instance.
 
 pub mod admission;
 pub mod evidence;
@@ -23,44 +23,44 @@
 use olivegate_quarantine::{ContentDigest, Suspects};
 use tokio::sync::{Notify, Semaphore};
 
-pub use admission::Entry;
-use run_history::{AnsweredContents, LeftRuns};
+pub use admission::RunPermit;
+use run_history::{AbandonedRuns, AnsweredContents};
 
-/// Where news comes from.
+/// Where the information in a report comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOrigin {
-    /// This gate saw it.
+    /// Observed by this gate.
     Local,
-    /// Another gate told it.
+    /// Received from another gate.
     Peer,
 }
 
-/// The quarantine of one gate.
+/// Quarantine state of one gate.
 pub struct GateQuarantine {
     suspects: RefCell<Suspects>,
-    /// The place of the one suspect that may run.
-    alone: Arc<Semaphore>,
+    /// One permit: at most one suspect runs at a time.
+    isolation: Arc<Semaphore>,
     answered: AnsweredContents,
-    left: LeftRuns,
-    /// Contents of which there is news to tell.
-    news: RefCell<Vec<(ReportOrigin, ContentDigest)>>,
-    /// Told when there is such.
+    abandoned: AbandonedRuns,
+    /// Contents whose reports have to be sent to other gates.
+    changed: RefCell<Vec<(ReportOrigin, ContentDigest)>>,
+    /// Notified when `changed` gets an entry.
     pub reports_changed: Notify,
     has_synced: Cell<bool>,
-    heard: Notify,
+    synced: Notify,
 }
 
 impl Default for GateQuarantine {
     fn default() -> Self {
         GateQuarantine {
             suspects: RefCell::default(),
-            alone: Arc::new(Semaphore::new(1)),
+            isolation: Arc::new(Semaphore::new(1)),
             answered: AnsweredContents::default(),
-            left: LeftRuns::default(),
-            news: RefCell::default(),
+            abandoned: AbandonedRuns::default(),
+            changed: RefCell::default(),
             reports_changed: Notify::new(),
             has_synced: Cell::new(false),
-            heard: Notify::new(),
+            synced: Notify::new(),
         }
     }
 }
--- a/crates/sidecar/src/gate/quarantine/reports.rs
+++ b/crates/sidecar/src/gate/quarantine/reports.rs
@@ -1,4 +1,4 @@
-//! What there is to tell the other gates of the service, and what they tell.
+//! Exchange of quarantine reports with the other gates of the service.
 
 use std::time::Duration;
 
@@ -8,38 +8,38 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// Longest wait of a request at a node that has just started and has not heard yet what others
-/// suspect. A peer answers within some round trips.
-const HEARING_LIMIT: Duration = Duration::from_millis(400);
+/// Maximum time that a request at a node that has just started waits for the reports of other gates. A peer
+/// answers within a few round trips.
+const SYNC_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl GateQuarantine {
-    /// Ends, age and consequence, for log lines.
-    pub(super) fn standing(&self, node: &Node, content: &ContentDigest) -> String {
+    /// Number of ends, age and whether the content is held, as fields of a log line.
+    pub(super) fn status_fields(&self, node: &Node, content: &ContentDigest) -> String {
         let policy = node.settings().quarantine;
         let now = clock::now();
         match self.suspects.borrow().status(&policy, content, now) {
-            Some(standing) => {
-                let age = standing.age.as_millis();
-                format!("ends={} age_ms={age} held={}", standing.ends, standing.is_held)
+            Some(status) => {
+                let age = status.age.as_millis();
+                format!("ends={} age_ms={age} held={}", status.ends, status.is_held)
             }
             None => "ends=0 age_ms=0 held=false".into(),
         }
     }
 
-    /// Has the other gates told of it.
-    pub(super) fn tell(&self, node: &Node, origin: ReportOrigin, content: ContentDigest) {
-        self.news.borrow_mut().push((origin, content));
+    /// Queues the report on `content` for the other gates.
+    pub(super) fn queue_report(&self, node: &Node, origin: ReportOrigin, content: ContentDigest) {
+        self.changed.borrow_mut().push((origin, content));
         self.reports_changed.notify_one();
-        self.show(node);
+        self.update_metrics(node);
     }
 
-    fn show(&self, node: &Node) {
+    fn update_metrics(&self, node: &Node) {
         let (suspected, held) = self.suspects.borrow().counts(&node.settings().quarantine);
         node.metrics.set_state("suspected_contents", suspected as u64);
         node.metrics.set_state("held_contents", held as u64);
     }
 
-    /// Takes over what another gate of the service knows.
+    /// Merges the reports of another gate of the service.
     pub fn merge(&self, node: &Node, reports: &[SuspectReport]) {
         let policy = node.settings().quarantine;
         let now = clock::now();
@@ -48,66 +48,66 @@
                 continue;
             }
             let content = report.content.digest;
-            log::info!("event=content_told content={content} {}", self.standing(node, &content));
-            self.tell(node, ReportOrigin::Peer, content);
+            log::info!("event=content_told content={content} {}", self.status_fields(node, &content));
+            self.queue_report(node, ReportOrigin::Peer, content);
         }
     }
 
-    /// What there is news of that came this way.
+    /// Takes the queued reports of this origin.
     pub fn take_changed_reports(&self, origin: ReportOrigin) -> Vec<SuspectReport> {
-        let is_wanted = |news: &mut (ReportOrigin, ContentDigest)| news.0 == origin;
-        let mut news = self.news.borrow_mut();
+        let has_origin = |changed: &mut (ReportOrigin, ContentDigest)| changed.0 == origin;
+        let mut changed = self.changed.borrow_mut();
         let mut contents: Vec<ContentDigest> =
-            news.extract_if(.., is_wanted).map(|(_, content)| content).collect();
-        drop(news);
+            changed.extract_if(.., has_origin).map(|(_, content)| content).collect();
+        drop(changed);
         contents.sort_unstable();
         contents.dedup();
         self.reports(&contents)
     }
 
-    /// All contents that are remembered.
+    /// All contents that this gate has reports on.
     pub fn contents(&self) -> Vec<ContentDigest> {
         self.suspects.borrow().contents()
     }
 
-    /// Those that are held.
+    /// The contents that are held.
     pub fn held_contents(&self, node: &Node) -> Vec<ContentDigest> {
         self.suspects.borrow().held_contents(&node.settings().quarantine)
     }
 
-    /// What is known of these.
+    /// Reports on `contents`.
     pub fn reports(&self, contents: &[ContentDigest]) -> Vec<SuspectReport> {
         let now = clock::now();
         let suspects = self.suspects.borrow();
         contents.iter().filter_map(|content| suspects.report(content, now)).collect()
     }
 
-    /// Forgets what is over.
+    /// Drops expired suspects.
     pub fn expire(&self, node: &Node) {
         if self.suspects.borrow().is_empty() {
             return;
         }
         self.suspects.borrow_mut().expire(&node.settings().quarantine, clock::now());
-        self.show(node);
+        self.update_metrics(node);
     }
 
-    /// True once this node has heard what others suspect.
+    /// True once this node has received the reports of other gates, or there was no gate to ask.
     pub fn has_synced(&self) -> bool {
         self.has_synced.get()
     }
 
-    /// Others have told, or there is nobody who could.
+    /// Other gates have sent their reports, or there is none that could.
     pub fn mark_synced(&self) {
         self.has_synced.set(true);
-        self.heard.notify_waiters();
+        self.synced.notify_waiters();
     }
 
-    /// Waits until others have told what they suspect, for a while at most.
-    pub(super) async fn wait_until_heard(&self) {
-        let heard = self.heard.notified();
+    /// Waits for the reports of other gates, for at most [`SYNC_TIMEOUT`].
+    pub(super) async fn wait_for_sync(&self) {
+        let synced = self.synced.notified();
         if !self.has_synced.get() {
-            // After the limit it goes by what it has seen itself.
-            let _ = tokio::time::timeout(HEARING_LIMIT, heard).await;
+            // After the timeout, decisions use only what this gate has observed itself.
+            let _ = tokio::time::timeout(SYNC_TIMEOUT, synced).await;
         }
     }
 }
--- a/crates/sidecar/src/gate/quarantine/run_content.rs
+++ b/crates/sidecar/src/gate/quarantine/run_content.rs
@@ -1,4 +1,4 @@
-//! The content of a request that the instance runs, kept until the run has ended.
+//! The content of a request, kept while the instance runs it.
 
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -14,13 +14,14 @@
 use crate::reply::{Body, BodyStream};
 use crate::state::Node;
 
-/// Bytes of a body up to which hashing it costs little.
-const SMALL_BODY: usize = 1_024;
-/// Bytes at the beginning of a streamed body that tell most contents apart before all of it is
-/// there: as much as is read of any longer body before it is passed on.
-const BEGINNING_BYTES: usize = 64 * 1024;
+/// Largest body, in bytes, that [`RunContent::quick_hash`] hashes: up to this size hashing is cheap.
+const MAX_QUICK_HASH_BODY: usize = 1_024;
+/// Length of the prefix, in bytes, that distinguishes most streamed bodies before they are complete. As much
+/// of any longer body is read before it is forwarded.
+const PREFIX_BYTES: usize = 64 * 1024;
 
-/// What makes a request. A whole body is kept by reference, and nothing is hashed until it has to be.
+/// What identifies a request: method, target, calling service and body. A complete body is kept by reference
+/// and hashed only when a digest is needed.
 #[derive(Debug, Clone)]
 pub struct RunContent {
     method: Bytes,
@@ -35,52 +36,52 @@
     Streamed(Rc<StreamedBody>),
 }
 
-/// A body that is hashed as it passes.
+/// A body that is hashed while it is streamed.
 #[derive(Debug)]
 struct StreamedBody {
     hasher: RefCell<ContentHasher>,
-    passed: Cell<usize>,
-    beginning: Cell<Option<ContentDigest>>,
-    is_whole: Cell<bool>,
+    hashed_bytes: Cell<usize>,
+    prefix: Cell<Option<ContentDigest>>,
+    is_complete: Cell<bool>,
 }
 
 impl StreamedBody {
     fn new(hasher: ContentHasher) -> Self {
         StreamedBody {
             hasher: RefCell::new(hasher),
-            passed: Cell::new(0),
-            beginning: Cell::new(None),
-            is_whole: Cell::new(false),
+            hashed_bytes: Cell::new(0),
+            prefix: Cell::new(None),
+            is_complete: Cell::new(false),
         }
     }
 
     fn update(&self, piece: &[u8]) {
         let mut hasher = self.hasher.borrow_mut();
-        let passed = self.passed.replace(self.passed.get() + piece.len());
-        let missing = BEGINNING_BYTES.saturating_sub(passed);
-        if missing == 0 || piece.len() < missing {
+        let hashed_bytes = self.hashed_bytes.replace(self.hashed_bytes.get() + piece.len());
+        let remaining = PREFIX_BYTES.saturating_sub(hashed_bytes);
+        if remaining == 0 || piece.len() < remaining {
             hasher.update(piece);
             return;
         }
-        let (first, rest) = piece.split_at(missing);
-        hasher.update(first);
-        self.beginning.set(Some(hasher.finish()));
+        let (head, rest) = piece.split_at(remaining);
+        hasher.update(head);
+        self.prefix.set(Some(hasher.finish()));
         hasher.update(rest);
     }
 
     fn digest(&self) -> Option<ContentDigest> {
-        self.is_whole.get().then(|| self.hasher.borrow().finish())
+        self.is_complete.get().then(|| self.hasher.borrow().finish())
     }
 }
 
-/// The pieces of `stream`, told to `body` as they pass.
-fn watched(stream: BodyStream, body: Rc<StreamedBody>) -> BodyStream {
+/// Wraps `stream` so that `body` hashes each piece when it is read.
+fn hash_pieces(stream: BodyStream, body: Rc<StreamedBody>) -> BodyStream {
     let pieces = futures::stream::unfold((stream, body), |(mut stream, body)| async move {
         let piece = stream.next().await;
         match &piece {
             Some(Ok(data)) => body.update(data),
             Some(Err(_)) => {}
-            None => body.is_whole.set(true),
+            None => body.is_complete.set(true),
         }
         piece.map(|piece| (piece, (stream, body)))
     });
@@ -88,12 +89,12 @@
 }
 
 impl RunContent {
-    /// The content of a request whose body is whole.
+    /// The content of a request with a complete body.
     pub fn whole(method: Bytes, target: Bytes, caller: Bytes, body: Bytes) -> Self {
         RunContent { method, target, caller, body: RunBody::Whole(body) }
     }
 
-    /// The content of `offer` with this body, and the body as it is to be passed on.
+    /// The content of `offer` with this body, and the body to forward in its place.
     pub fn of(node: &Node, offer: &Offer, body: Body) -> (Self, Body) {
         let head = &offer.head;
         let caller = head.fields.get(node.wire_names.caller_service).cloned().unwrap_or_default();
@@ -101,13 +102,13 @@
             Body::Whole(bytes) => (RunBody::Whole(bytes.clone()), Body::Whole(bytes)),
             Body::Stream(stream, length) => {
                 let streamed = Rc::new(StreamedBody::new(ContentHasher::new(&head.method, &head.target, &caller)));
-                (RunBody::Streamed(streamed.clone()), Body::Stream(watched(stream, streamed), length))
+                (RunBody::Streamed(streamed.clone()), Body::Stream(hash_pieces(stream, streamed), length))
             }
         };
         (RunContent { method: head.method.clone(), target: head.target.clone(), caller, body: run_body }, body)
     }
 
-    /// Its digest; none while a streamed body has not passed whole.
+    /// Digest of the content; `None` until a streamed body is complete.
     pub fn digest(&self) -> Option<ContentDigest> {
         match &self.body {
             RunBody::Whole(body) => Some(ContentDigest::of(&self.method, &self.target, &self.caller, body)),
@@ -115,36 +116,36 @@
         }
     }
 
-    /// Digest of the beginning of a streamed body, once that has passed.
-    pub fn beginning(&self) -> Option<ContentDigest> {
+    /// Digest of the content up to the prefix of a streamed body, once the prefix has been read.
+    pub fn prefix(&self) -> Option<ContentDigest> {
         match &self.body {
             RunBody::Whole(_) => None,
-            RunBody::Streamed(body) => body.beginning.get(),
+            RunBody::Streamed(body) => body.prefix.get(),
         }
     }
 
-    /// As it is marked when an instance ends with it.
+    /// The content as recorded when an instance ends while running it.
     pub fn suspected(&self, was_answered: bool) -> Option<SuspectedContent> {
-        Some(SuspectedContent { digest: self.digest()?, prefix: self.beginning(), was_answered })
+        Some(SuspectedContent { digest: self.digest()?, prefix: self.prefix(), was_answered })
     }
 
-    /// A hash that is good for telling contents apart within this process, where the body is small.
+    /// A hash that distinguishes contents within this process; `None` for a large or streamed body.
     pub fn quick_hash(&self, hasher: &RandomState) -> Option<u64> {
         match &self.body {
-            RunBody::Whole(body) if body.len() <= SMALL_BODY => {
+            RunBody::Whole(body) if body.len() <= MAX_QUICK_HASH_BODY => {
                 Some(hasher.hash_one((&self.method, &self.target, &self.caller, body)))
             }
             _ => None,
         }
     }
 
-    /// The service that makes the request, for log lines.
+    /// Name of the calling service, for log lines.
     pub fn caller(&self) -> Cow<'_, str> {
         display_id(&self.caller)
     }
 
-    /// Its digest, for log lines.
-    pub fn shown(&self) -> String {
+    /// Digest of the content, for log lines.
+    pub fn digest_text(&self) -> String {
         self.digest().map_or("streamed".into(), |digest| digest.to_string())
     }
 }
--- a/crates/sidecar/src/gate/quarantine/run_history.rs
+++ b/crates/sidecar/src/gate/quarantine/run_history.rs
@@ -1,4 +1,4 @@
-//! What a gate remembers of runs that are over, to judge the end of an instance by.
+//! History of past runs, used to attribute the end of an instance.
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
@@ -9,15 +9,15 @@
 
 use super::run_content::RunContent;
 
-/// Answered contents that each of two generations remembers.
-const GENERATION: usize = 2_048;
-/// Runs that nobody waits for any more which are remembered.
-const MOST_LEFT: usize = 64;
-/// Time for which an instance may still be at work on a run that nobody waits for any more.
-const LEFT_MEMORY: Duration = Duration::from_secs(1);
+/// Maximum number of answered contents in each of the two generations.
+const GENERATION_SIZE: usize = 2_048;
+/// Maximum number of abandoned runs that are remembered.
+const MAX_ABANDONED: usize = 64;
+/// Time for which an instance may still be executing an abandoned run.
+const ABANDONED_RETENTION: Duration = Duration::from_secs(1);
 
-/// Contents that were answered lately: the last 2,048 at least, as keyed hashes. A collision makes
-/// one content in 10^16 pass for answered, and it then takes two ends more to hold it.
+/// Contents that were answered recently, at least the last 2,048, as keyed hashes. Because of collisions,
+/// about one content in 10^16 is wrongly taken for answered; two more ends are then needed to hold it.
 #[derive(Debug, Default)]
 pub struct AnsweredContents {
     hasher: RandomState,
@@ -26,72 +26,73 @@
 
 #[derive(Debug, Default)]
 struct Generations {
-    present: HashSet<u64>,
-    last: HashSet<u64>,
+    current: HashSet<u64>,
+    previous: HashSet<u64>,
 }
 
 impl AnsweredContents {
-    /// Notes an answered content; only those with a small body are kept.
+    /// Adds an answered content. Contents with a large or streamed body are ignored.
     pub fn insert(&self, content: &RunContent) {
         let Some(hash) = content.quick_hash(&self.hasher) else { return };
         let mut generations = self.generations.borrow_mut();
-        if generations.present.len() >= GENERATION {
-            generations.last = std::mem::take(&mut generations.present);
+        if generations.current.len() >= GENERATION_SIZE {
+            generations.previous = std::mem::take(&mut generations.current);
         }
-        generations.present.insert(hash);
+        generations.current.insert(hash);
     }
 
-    /// True when this content was answered lately.
+    /// True when this content was answered recently.
     pub fn contains(&self, content: &RunContent) -> bool {
         let generations = self.generations.borrow();
-        let is_known = |hash| generations.present.contains(&hash) || generations.last.contains(&hash);
+        let is_known = |hash| generations.current.contains(&hash) || generations.previous.contains(&hash);
         content.quick_hash(&self.hasher).is_some_and(is_known)
     }
 }
 
-/// A run of the instance beside this node.
+/// One execution of a request by the instance beside this node.
 #[derive(Debug, Clone)]
 pub struct Run {
     /// The instance.
     pub instance: InstanceName,
-    /// Name of this start of it: one that starts again under its name may end again.
-    pub start: InstanceName,
+    /// Name of the instance's incarnation: an instance that restarts under the same name may end again.
+    pub incarnation_name: InstanceName,
     /// Name of the request's route.
     pub route: String,
-    /// The request.
+    /// Content of the request.
     pub content: RunContent,
-    /// When it began.
+    /// When the run began.
     pub began: Moment,
 }
 
-/// Runs that were given up, by their client or at their deadline, while the instance was at work.
+/// Runs that were abandoned, by their client or at their deadline, while the instance was executing them.
 #[derive(Debug, Default)]
-pub struct LeftRuns(RefCell<VecDeque<(Moment, Run)>>);
+pub struct AbandonedRuns(RefCell<VecDeque<(Moment, Run)>>);
 
-impl LeftRuns {
-    /// Notes a run that nobody waits for any more.
+impl AbandonedRuns {
+    /// Adds a run that was abandoned at `now`; drops the oldest ones beyond [`MAX_ABANDONED`].
     pub fn note(&self, run: Run, now: Moment) {
-        let mut left = self.0.borrow_mut();
-        left.truncate(MOST_LEFT - 1);
-        left.push_front((now, run));
+        let mut abandoned = self.0.borrow_mut();
+        abandoned.truncate(MAX_ABANDONED - 1);
+        abandoned.push_front((now, run));
     }
 
-    /// True when an instance may still be at work on such a run.
-    pub fn any_of(&self, instance: &InstanceName, now: Moment) -> bool {
-        let is_recent = |at: Moment| now.since(at) <= LEFT_MEMORY;
+    /// True when `instance` may still be executing an abandoned run.
+    pub fn has_any(&self, instance: &InstanceName, now: Moment) -> bool {
+        let is_recent = |at: Moment| now.since(at) <= ABANDONED_RETENTION;
         self.0.borrow().iter().any(|(at, run)| is_recent(*at) && run.instance == *instance)
     }
 
-    /// Takes the runs that `instance` may still have been at work on when it ended.
-    pub fn take_of(&self, instance: &InstanceName, ended: Moment) -> Vec<Run> {
-        let mut taken = Vec::new();
+    /// Removes all abandoned runs of `instance` and returns those that it may still have been executing when
+    /// it ended.
+    pub fn take_for(&self, instance: &InstanceName, ended: Moment) -> Vec<Run> {
+        let mut runs = Vec::new();
         self.0.borrow_mut().retain(|(at, run)| {
-            let is_of_it = run.instance == *instance;
-            if is_of_it && ended.since(*at) <= LEFT_MEMORY {
-                taken.push(run.clone());
+            let is_match = run.instance == *instance;
+            if is_match && ended.since(*at) <= ABANDONED_RETENTION {
+                runs.push(run.clone());
             }
-            !is_of_it
+            !is_match
         });
-        taken
+        runs
     }
 }
--- a/crates/sidecar/src/gate/quarantine/watched_run.rs
+++ b/crates/sidecar/src/gate/quarantine/watched_run.rs
@@ -1,4 +1,4 @@
-//! A run that is watched for the end of its instance.
+//! Watches a run for the end of its instance.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 use olivegate_types::Moment;
 use tokio::task::spawn_local;
 
-use super::Entry;
+use super::RunPermit;
 use super::run_content::RunContent;
 use super::run_history::Run;
 use crate::gate::slots::InstanceSlots;
@@ -15,43 +15,43 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// A run, until its answer is whole or its failure is known. Dropped before that, it was left: the
-/// instance may still be at work on it.
+/// A run until its answer is complete or its failure is known. If it is dropped before that, the run counts
+/// as abandoned: the instance may still be executing it.
 pub struct WatchedRun {
     node: Rc<Node>,
     slots: Rc<InstanceSlots>,
     run: Run,
-    /// The instance is done with it, whichever way.
-    is_over: bool,
-    /// No other suspect runs as long, if it is one.
-    _entry: Entry,
+    /// The instance no longer executes the run, whatever its result.
+    is_finished: bool,
+    /// Held until the run is dropped, so that no other suspect runs at the same time.
+    _permit: RunPermit,
 }
 
 impl WatchedRun {
-    /// A run that begins now.
+    /// Begins a run now.
     pub fn begin(
         node: &Rc<Node>,
         offer: &Offer,
         content: RunContent,
-        entry: Entry,
+        permit: RunPermit,
         slots: Rc<InstanceSlots>,
     ) -> Self {
         let run = Run {
             instance: offer.instance.clone(),
-            start: slots.start_name(&offer.instance),
+            incarnation_name: slots.start_name(&offer.instance),
             route: offer.route.clone(),
             content,
             began: clock::now(),
         };
-        WatchedRun { node: node.clone(), slots, run, is_over: false, _entry: entry }
+        WatchedRun { node: node.clone(), slots, run, is_finished: false, _permit: permit }
     }
 
-    /// What makes the request.
+    /// Content of the request.
     pub fn content(&self) -> &RunContent {
         &self.run.content
     }
 
-    /// The answer as it is to be passed on: watched to the end of its body.
+    /// Returns the answer to forward, with its body watched to the end.
     pub fn on_answer(mut self, answer: Response) -> Response {
         let Response { head, body, fault } = answer;
         let body = match body {
@@ -65,7 +65,7 @@
     }
 
     fn on_answered(&mut self, status: u16) {
-        self.is_over = true;
+        self.is_finished = true;
         self.node.gate.quarantine.on_answered(&self.node, &self.run.content, status);
     }
 
@@ -82,25 +82,26 @@
         watched.boxed_local()
     }
 
-    /// The answer's body broke off: perhaps since the instance ended.
+    /// The answer's body broke off, possibly because the instance ended.
     fn on_body_broken(mut self) {
-        self.is_over = true;
+        self.is_finished = true;
         spawn_local(async move { self.on_failure(FailureReason::Broken).await });
     }
 
-    /// What a failure tells of the instance, and the failure's reason as that makes it.
+    /// Checks after a failure whether the instance has ended. Returns the reason, which becomes
+    /// [`FailureReason::InstanceEnded`] for a broken exchange whose instance has ended.
     pub async fn on_failure(&mut self, reason: FailureReason) -> FailureReason {
         let quarantine = &self.node.gate.quarantine;
-        self.is_over = reason != FailureReason::TimedOut;
+        self.is_finished = reason != FailureReason::TimedOut;
         match reason {
             FailureReason::Broken => {
                 let Some(ended) = self.end_of_instance().await else { return reason };
                 quarantine.on_end(&self.node, &self.run, ended);
                 FailureReason::InstanceEnded
             }
-            FailureReason::Connect if quarantine.has_left_runs(&self.run.instance) => {
+            FailureReason::Connect if quarantine.has_abandoned_runs(&self.run.instance) => {
                 if let Some(ended) = self.end_of_instance().await {
-                    quarantine.on_end_unseen(&self.node, &self.run.instance, ended);
+                    quarantine.on_unobserved_end(&self.node, &self.run.instance, ended);
                 }
                 reason
             }
@@ -122,8 +123,8 @@
 
 impl Drop for WatchedRun {
     fn drop(&mut self) {
-        if !self.is_over {
-            self.node.gate.quarantine.on_left(self.run.clone());
+        if !self.is_finished {
+            self.node.gate.quarantine.on_abandoned(self.run.clone());
         }
     }
 }
