--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -15,7 +15,7 @@
 //! - [`notice`]: what an instance says of itself in an answer.
 //! - [`running`]: a request for as long as the instance runs it.
 //! - [`shedding`]: which chains may begin while the instance sheds.
-//! - [`repeats`]: how many repeats are let through.
+//! - [`retries`]: how many repeats are let through.
 //! - [`quarantine`]: requests with which instances end.
 //! - [`idle_closes`]: which closes of idle connections are a sign of an end.
 //! - [`idle_reuse`]: how long a kept connection may have rested.
@@ -34,7 +34,7 @@
 pub mod notice;
 pub mod presence;
 pub mod quarantine;
-pub mod repeats;
+pub mod retries;
 pub mod running;
 pub mod serve;
 pub mod shedding;
@@ -64,7 +64,7 @@
 use quarantine::run_content::RunContent;
 use quarantine::watched_run::WatchedRun;
 use quarantine::{GateQuarantine, RunPermit};
-use repeats::GateRepeats;
+use retries::GateRepeats;
 use running::Running;
 use slots::InstanceSlots;
 
