--- a/crates/sidecar/src/gate/admission.rs
+++ b/crates/sidecar/src/gate/admission.rs
@@ -1,7 +1,7 @@
-//! Which requests of clients may go on to their calls.
+//! Admission control of client requests by the load of the services that they call.
 //!
-//! The gate of a request's first instance hears from deeper services sooner than the edges that
-//! it answers, and nothing has been done for the request yet.
+//! The gate of a request's first instance learns the load of downstream services sooner than the edges that
+//! it replies to, and no work has been done for the request yet.
 
 use olivegate_overload::retry_after::retry_after_level;
 use olivegate_types::{Moment, Refusal, RefusalReason};
@@ -9,8 +9,8 @@
 use crate::gate_protocol::Offer;
 use crate::state::Node;
 
-/// Refuses a client's request that its calls' services have no room for. Calls are never held
-/// back: work has been done for them.
+/// Refuses a client request if the services that it calls have no capacity for it. Calls are never refused
+/// here, because work has already been done for them.
 pub fn admit_root(node: &Node, offer: &mut Offer, now: Moment) -> Result<(), Refusal> {
     if offer.hop > 0 {
         return Ok(());
--- a/crates/sidecar/src/gate/confirmation.rs
+++ b/crates/sidecar/src/gate/confirmation.rs
@@ -1,30 +1,30 @@
-//! The second step of an offer that may run only once.
+//! Second step of an offer that may run at most once: the edge confirms the granted slot.
 
 use tokio::sync::oneshot;
 
 use crate::gate_protocol::CONFIRM_LIMIT;
 
-/// The gate's side: asks for the confirmation once there is a slot.
+/// The gate's side: asks for the confirmation once a slot is granted.
 pub enum Confirmation {
-    /// None is needed.
+    /// The request may run without confirmation.
     NotNeeded,
-    /// Run the request only when the edge has confirmed it.
+    /// The request may run only after the edge has confirmed it.
     Needed(Grant),
 }
 
-/// A grant that has not been told yet.
+/// A grant that hasn't been sent to the edge yet.
 pub struct Grant {
     granted: oneshot::Sender<()>,
     confirmed: oneshot::Receiver<()>,
 }
 
-/// The connection's side: tells the edge of the grant and hands its confirmation on.
+/// The connection's side: learns of the grant and passes on the confirmation of the edge.
 pub struct GrantRelay {
     granted: Option<oneshot::Receiver<()>>,
     confirmed: Option<oneshot::Sender<()>>,
 }
 
-/// Both sides for an offer.
+/// Creates both sides for an offer.
 pub fn confirmation(is_needed: bool) -> (Confirmation, GrantRelay) {
     if !is_needed {
         return (Confirmation::NotNeeded, GrantRelay { granted: None, confirmed: None });
@@ -36,7 +36,7 @@
 }
 
 impl Confirmation {
-    /// True when the request may run.
+    /// Signals the grant and waits for the confirmation. Returns true when the request may run.
     pub async fn obtain(self) -> bool {
         let Confirmation::Needed(grant) = self else { return true };
         if grant.granted.send(()).is_err() {
@@ -47,7 +47,8 @@
 }
 
 impl GrantRelay {
-    /// Waits until a slot was granted; never ends when that was told or is not needed.
+    /// Waits until a slot is granted. Never resolves if no confirmation is needed or the grant was already
+    /// returned.
     pub async fn granted(&mut self) {
         if let Some(granted) = &mut self.granted {
             let is_granted = granted.await.is_ok();
@@ -59,10 +60,10 @@
         futures::future::pending().await
     }
 
-    /// The edge confirmed.
+    /// Passes on the confirmation of the edge.
     pub fn confirm(&mut self) {
         if let Some(confirmed) = self.confirmed.take() {
-            // A gate that stopped waiting refuses the request.
+            // If the gate has stopped waiting, it refuses the request.
             let _ = confirmed.send(());
         }
     }
--- a/crates/sidecar/src/gate/declared_rate.rs
+++ b/crates/sidecar/src/gate/declared_rate.rs
@@ -1,5 +1,5 @@
-//! The rate that the instance beside this node declares: learnt from its answers and from edges that
-//! were told it, and told to operators.
+//! The rate that the instance beside this node declares, taken from its responses and from what edges report
+//! back. Each change is logged and set in the metrics.
 
 use std::rc::Rc;
 
@@ -9,83 +9,91 @@
 use crate::declared::RateRecord;
 use crate::event::display_id;
 use crate::gate::notice::RateNotice;
-use crate::gate::slots::{InstanceSlots, RateNews};
+use crate::gate::slots::{InstanceSlots, RateUpdate};
 use crate::metrics::Metrics;
 
-/// By what something was learnt of an instance, for log lines.
+/// Where a declared rate was learnt from, for log lines.
 #[derive(Debug, Clone, Copy)]
-pub enum LearntBy<'a> {
-    /// Its answer to this request.
-    Answer {
+pub enum RateSource<'a> {
+    /// The instance's response to this request.
+    Response {
         /// Id of the request.
         request: &'a [u8],
-        /// Status of the answer.
+        /// Status of the response.
         status: u16,
     },
-    /// Its answer to the question who is there.
-    Question,
-    /// An edge, with the offer of this request.
+    /// The instance's response to an identity check.
+    IdentityCheck,
+    /// The offer of this request by an edge.
     Edge {
         /// Id of the request.
         request: &'a [u8],
     },
 }
 
-impl LearntBy<'_> {
+impl RateSource<'_> {
     fn fields(self) -> String {
         match self {
-            LearntBy::Answer { request, status } => {
+            RateSource::Response { request, status } => {
                 format!("by=answer request={} status={status}", display_id(request))
             }
-            LearntBy::Question => "by=question".into(),
-            LearntBy::Edge { request } => format!("by=edge request={}", display_id(request)),
+            RateSource::IdentityCheck => "by=question".into(),
+            RateSource::Edge { request } => format!("by=edge request={}", display_id(request)),
         }
     }
 }
 
-/// Takes in what an answer of the instance `name` says of the rate that it takes.
-pub fn take_notice(
+/// Applies the rate notice in a response of the instance `name`.
+pub fn apply_notice(
     slots: &Rc<InstanceSlots>,
     name: &InstanceName,
     notice: RateNotice,
-    by: LearntBy<'_>,
+    source: RateSource<'_>,
     metrics: &Metrics,
 ) {
-    tell(slots, name, slots.note_rate(notice), by, metrics);
+    log_update(slots, name, slots.note_rate_notice(notice), source, metrics);
 }
 
-/// Takes in what an edge was told of it, perhaps by the process that was here before this one.
-pub fn take_reminder(
+/// Applies the rate that an edge reports back. The edge may have learnt it from an earlier process of this
+/// gate.
+pub fn apply_edge_report(
     slots: &Rc<InstanceSlots>,
     name: &InstanceName,
-    told: RateRecord,
-    by: LearntBy<'_>,
+    reported: RateRecord,
+    source: RateSource<'_>,
     metrics: &Metrics,
 ) {
-    tell(slots, name, slots.note_reminder(told), by, metrics);
+    log_update(slots, name, slots.note_edge_report(reported), source, metrics);
 }
 
-/// Tells that the rate of a start of an instance is forgotten, since that has ended or gone.
-pub fn tell_forgotten(start: &InstanceName, metrics: &Metrics) {
-    log::info!("event=rate_forgotten instance={start}");
+/// Logs that the rate of an incarnation of an instance is dropped because the incarnation has ended or is
+/// gone.
+pub fn log_rate_forgotten(incarnation_name: &InstanceName, metrics: &Metrics) {
+    log::info!("event=rate_forgotten instance={incarnation_name}");
     metrics.set_declared_rate(None);
 }
 
-fn tell(slots: &Rc<InstanceSlots>, name: &InstanceName, news: RateNews, by: LearntBy<'_>, metrics: &Metrics) {
+fn log_update(
+    slots: &Rc<InstanceSlots>,
+    name: &InstanceName,
+    update: RateUpdate,
+    source: RateSource<'_>,
+    metrics: &Metrics,
+) {
     let instance = slots.start_name(name);
-    match news {
-        RateNews::None => {}
-        RateNews::Changed(change) => {
-            let (before, now) = (shown_rate(change.before), shown_rate(change.now));
-            log::info!("event=rate_declared instance={instance} before={before} now={now} {}", by.fields());
+    match update {
+        RateUpdate::None => {}
+        RateUpdate::Changed(change) => {
+            let (before, now) = (rate_text(change.before), rate_text(change.now));
+            log::info!("event=rate_declared instance={instance} before={before} now={now} {}", source.fields());
             metrics.set_declared_rate(change.now);
         }
-        RateNews::Unreadable(error) => {
-            log::warn!("event=rate_unreadable instance={instance} error={error} {}", by.fields());
+        RateUpdate::Unreadable(error) => {
+            log::warn!("event=rate_unreadable instance={instance} error={error} {}", source.fields());
         }
     }
 }
 
-fn shown_rate(rate: Option<DeclaredRate>) -> String {
+fn rate_text(rate: Option<DeclaredRate>) -> String {
     rate.map_or_else(|| "none".into(), |rate| rate.to_string())
 }
--- a/crates/sidecar/src/gate/exchange.rs
+++ b/crates/sidecar/src/gate/exchange.rs
@@ -1,9 +1,8 @@
-//! One request to the instance, and its answer.
+//! One request to the instance and its response.
 //!
-//! The instance may send answers that belong to no request of ours; the request id in an
-//! answer decides. Answers that are not ours are read over. A small answer is read whole
-//! before anything is passed on, so that one that breaks off is a failure and not half an
-//! answer.
+//! The instance may send responses that belong to no request of this gate. Responses are matched by the
+//! request id; those with another id are skipped. A small response is read completely before any of it is
+//! forwarded, so that a response that breaks off is a failure and not a truncated response.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -16,7 +15,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 
-use crate::gate::declared_rate::{self, LearntBy};
+use crate::gate::declared_rate::{self, RateSource};
 use crate::gate::instance_connection::{InstanceConnection, InstanceConnections};
 use crate::gate::notice::Notice;
 use crate::gate::slots::InstanceSlots;
@@ -24,30 +23,30 @@
 use crate::reply::{Body, Failure, FailureReason, IncompleteBody, Response, ResponseFault};
 use crate::state::Node;
 
-/// An answer up to this size is read whole before it is passed on.
-const WHOLE_ANSWER_BYTES: usize = 64 * 1024;
+/// A response body up to this size, in bytes, is read completely before the response is forwarded.
+const MAX_BUFFERED_RESPONSE: usize = 64 * 1024;
 
-/// Status with which an instance rejects what is meant for another one.
-const OTHER_INSTANCE: u16 = 421;
+/// Status with which an instance rejects a request intended for another instance.
+const MISDIRECTED_REQUEST: u16 = 421;
 
-/// A head that belongs to the request.
+/// The head of the response to the request.
 struct MatchedHead {
     head: ResponseHead,
     length: BodyLength,
     request_sent: bool,
 }
 
-/// Runs a request on `kept`, or on a new connection to the instance.
+/// Runs a request on the `pooled` connection, or on a new one if there is none.
 pub async fn run(
     node: &Rc<Node>,
     slots: &Rc<InstanceSlots>,
-    kept: Option<InstanceConnection>,
+    pooled: Option<InstanceConnection>,
     offer: &Offer,
     body: Body,
     time_left: Duration,
 ) -> Result<Response, Failure> {
     let connections = slots.connections();
-    let mut connection = match kept {
+    let mut connection = match pooled {
         Some(connection) => connection,
         None => connect(node, connections).await?,
     };
@@ -63,32 +62,32 @@
     };
     let notice = Notice::of(&matched.head, &node.wire_names);
     slots.note_close(notice.closes);
-    if matched.head.status != OTHER_INSTANCE {
-        let by = LearntBy::Answer { request: &offer.request_id, status: matched.head.status };
-        declared_rate::take_notice(slots, &offer.instance, notice.rate, by, &node.metrics);
+    if matched.head.status != MISDIRECTED_REQUEST {
+        let source = RateSource::Response { request: &offer.request_id, status: matched.head.status };
+        declared_rate::apply_notice(slots, &offer.instance, notice.rate, source, &node.metrics);
         if notice.is_leaving {
             node.note_leaving(&offer.instance, slots.incarnation(), "instance");
         }
     }
-    let reusable = matched.request_sent && !notice.closes;
+    let is_reusable = matched.request_sent && !notice.closes;
     let whole_length = match matched.length {
         BodyLength::Known(length) => Some(length),
         _ => None,
     };
-    let first = read_up_to(&mut connection, WHOLE_ANSWER_BYTES).await?;
-    refusal_of(node, &matched.head)?;
-    let mut answer_head = matched.head;
-    answer_head.fields.remove_connection_fields();
-    let body = match first {
+    let first_part = read_up_to(&mut connection, MAX_BUFFERED_RESPONSE).await?;
+    check_refused(node, &matched.head)?;
+    let mut response_head = matched.head;
+    response_head.fields.remove_connection_fields();
+    let body = match first_part {
         FirstPart::Whole(bytes) => {
-            if reusable && matched.length != BodyLength::UntilClose {
+            if is_reusable && matched.length != BodyLength::UntilClose {
                 connections.keep(connection, notice.idle_timeout, slots.limit());
             }
             Body::Whole(bytes)
         }
-        FirstPart::More(bytes) => rest_of_body(connection, bytes, whole_length),
+        FirstPart::More(bytes) => remaining_body(connection, bytes, whole_length),
     };
-    Ok(Response { head: answer_head, body, fault: ResponseFault::None })
+    Ok(Response { head: response_head, body, fault: ResponseFault::None })
 }
 
 async fn connect(node: &Node, connections: &InstanceConnections) -> Result<InstanceConnection, Failure> {
@@ -96,13 +95,13 @@
     let connecting = connections.connect(node.settings().instance);
     connecting.await.map_err(|error| {
         if error.kind() == ErrorKind::ConnectionRefused {
-            node.gate.identity.doubt();
+            node.gate.identity.invalidate();
         }
         Failure::not_sent(FailureReason::Connect)
     })
 }
 
-/// The head as the instance gets it.
+/// The request head as it is sent to the instance.
 fn request_head(node: &Node, offer: &Offer, time_left: Duration) -> RequestHead {
     let wire_names = &node.wire_names;
     let mut head = offer.head.clone();
@@ -120,8 +119,8 @@
     }
 }
 
-/// Sends the request and reads until the head of its own answer. An instance may answer
-/// before it has read the whole request; the rest is then not sent.
+/// Sends the request and reads up to the head of its response. If the instance responds before it has read
+/// the whole request, the rest isn't sent.
 async fn exchange_heads(
     node: &Node,
     connection: &mut InstanceConnection,
@@ -129,8 +128,8 @@
     offer: &Offer,
     body: Body,
 ) -> Result<MatchedHead, Failure> {
-    let answers = &mut connection.answers;
-    answers.decoder_mut().expect_answer_to_head(head.method == "HEAD");
+    let responses = &mut connection.responses;
+    responses.decoder_mut().expect_answer_to_head(head.method == "HEAD");
     let mut sent_bytes = 0;
     let mut sent = None;
     let result = {
@@ -139,7 +138,7 @@
         loop {
             tokio::select! {
                 biased;
-                frame = answers.next() => match matching_head(node, frame, &offer.request_id) {
+                frame = responses.next() => match matching_head(node, frame, &offer.request_id) {
                     Ok(Some((head, length))) => break Ok((head, length)),
                     Ok(None) => {}
                     Err(reason) => break Err(reason),
@@ -160,7 +159,7 @@
     }
 }
 
-/// The head in `frame` if it answers `request_id`; the pieces of other answers are read over.
+/// The head in `frame` if it belongs to the response to `request_id`; frames of other responses are skipped.
 fn matching_head(
     node: &Node,
     frame: Option<Result<Frame<ResponseHead>, DecodeError>>,
@@ -168,11 +167,11 @@
 ) -> Result<Option<(ResponseHead, BodyLength)>, FailureReason> {
     match frame {
         Some(Ok(Frame::Head(head, length))) => {
-            let is_own = head.fields.get(node.wire_names.request_id) == Some(request_id);
-            if !is_own {
+            let is_match = head.fields.get(node.wire_names.request_id) == Some(request_id);
+            if !is_match {
                 node.metrics.exchanges.with_label_values(&["surplus-answer"]).inc();
             }
-            Ok(is_own.then_some((head, length)))
+            Ok(is_match.then_some((head, length)))
         }
         Some(Ok(Frame::Data(_) | Frame::End)) => Ok(None),
         Some(Err(DecodeError::Io(_) | DecodeError::Incomplete)) | None => Err(FailureReason::Broken),
@@ -180,11 +179,11 @@
     }
 }
 
-/// Why a request could not be sent whole.
+/// Why a request could not be sent completely.
 enum SendError {
-    /// The connection failed.
+    /// The connection to the instance failed.
     Connection,
-    /// The request's own body broke off.
+    /// The body of the request from the client broke off.
     Body,
 }
 
@@ -235,11 +234,11 @@
     Ok(())
 }
 
-/// What the instance says about not having run the request.
-fn refusal_of(node: &Node, head: &ResponseHead) -> Result<(), Failure> {
-    if head.status == OTHER_INSTANCE {
+/// Returns an error if the instance says that it didn't run the request.
+fn check_refused(node: &Node, head: &ResponseHead) -> Result<(), Failure> {
+    if head.status == MISDIRECTED_REQUEST {
         if let Some(present) = head.fields.text(node.wire_names.instance) {
-            super::meet_instance(node, present);
+            super::observe_instance(node, present);
         }
         return Err(Failure::not_run(FailureReason::WrongInstance));
     }
@@ -247,19 +246,21 @@
     if is_refusal { Err(Failure::not_run(FailureReason::RefusedByInstance)) } else { Ok(()) }
 }
 
-/// The beginning of a body.
+/// The first part of a response body.
 enum FirstPart {
-    /// It is all there is.
+    /// The complete body.
     Whole(Bytes),
-    /// More follows.
+    /// More data follows.
     More(Bytes),
 }
 
-async fn read_up_to(connection: &mut InstanceConnection, most: usize) -> Result<FirstPart, Failure> {
+async fn read_up_to(connection: &mut InstanceConnection, max_bytes: usize) -> Result<FirstPart, Failure> {
     let mut body = BytesMut::new();
     loop {
-        match connection.answers.next().await {
-            Some(Ok(Frame::Data(data))) if body.is_empty() && data.len() < most => body = BytesMut::from(data),
+        match connection.responses.next().await {
+            Some(Ok(Frame::Data(data))) if body.is_empty() && data.len() < max_bytes => {
+                body = BytesMut::from(data)
+            }
             Some(Ok(Frame::Data(data))) => body.put_slice(&data),
             Some(Ok(Frame::End)) => return Ok(FirstPart::Whole(body.freeze())),
             Some(Ok(Frame::Head(..))) => return Err(Failure::unknown(FailureReason::Malformed)),
@@ -268,23 +269,23 @@
             }
             Some(Err(_)) => return Err(Failure::unknown(FailureReason::Malformed)),
         }
-        if body.len() >= most {
+        if body.len() >= max_bytes {
             return Ok(FirstPart::More(body.freeze()));
         }
     }
 }
 
-/// The body as a stream: what was read already, then the rest of the connection's answer.
-/// A connection that carried so large an answer is not kept.
-fn rest_of_body(connection: InstanceConnection, first: Bytes, length: Option<u64>) -> Body {
+/// The body as a stream: the part that was already read, then the rest from the connection. A connection that
+/// carried such a large response isn't reused.
+fn remaining_body(connection: InstanceConnection, first_part: Bytes, length: Option<u64>) -> Body {
     let rest = futures::stream::unfold(Some(connection), |state| async move {
         let mut connection = state?;
-        match connection.answers.next().await {
+        match connection.responses.next().await {
             Some(Ok(Frame::Data(data))) => Some((Ok(data), Some(connection))),
             Some(Ok(Frame::End)) => None,
             _ => Some((Err(IncompleteBody), None)),
         }
     });
-    let first = futures::stream::once(async move { Ok(first) });
-    Body::Stream(Box::pin(first.chain(rest)), length)
+    let first_part = futures::stream::once(async move { Ok(first_part) });
+    Body::Stream(Box::pin(first_part.chain(rest)), length)
 }
--- a/crates/sidecar/src/gate/identity.rs
+++ b/crates/sidecar/src/gate/identity.rs
@@ -1,9 +1,9 @@
-//! Which instance is known to answer at the address beside this node.
+//! Which instance is known to listen at the address beside this node.
 //!
-//! An instance that ends makes room for another one at its address, under another name or its own.
-//! Whatever shows such an end makes the gate ask who is there before it sends a request: one that is
-//! sent to an instance which was not meant is rejected, but has used up one of the instances that
-//! its route allows. An answer of the instance that a request names confirms it as well.
+//! When an instance ends, another one can take over its address, under the same or another name. Any sign of
+//! such an end makes the gate check the identity of the listening instance before it sends another request: a
+//! request that reaches the wrong instance is rejected, but uses up one of the instances that its route
+//! allows. A response from the instance that a request names confirms the identity, too.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -14,144 +14,145 @@
 use crate::gate_protocol::Offer;
 use olivegate_clock as clock;
 
-/// Longest time that a question holds a request up.
-const LONGEST_PATIENCE: Duration = Duration::from_millis(100);
-/// Part of the target latency, and of the time that is left, that a request waits for a question.
-const PATIENCE_PART: u32 = 10;
+/// Maximum time that a request waits for an identity check.
+const MAX_CHECK_WAIT: Duration = Duration::from_millis(100);
+/// A request waits for an identity check for at most this fraction (1/10) of its target latency, or of its
+/// remaining time if that is shorter.
+const CHECK_WAIT_DIVISOR: u32 = 10;
 
-/// What the question who is there has found.
+/// Result of an identity check.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Found {
-    /// The instance that was meant.
+pub enum CheckResult {
+    /// The expected instance is listening.
     Expected,
-    /// Nothing shows that it is another one: it gave no answer, or one that does not say.
-    Untold,
-    /// No process: the port refuses connections.
-    Nobody,
-    /// Another instance, with its name where it said that.
+    /// There was no response, or none that identifies the instance. Nothing shows that it is another one.
+    Inconclusive,
+    /// No process is listening: the port refuses connections.
+    NotListening,
+    /// Another instance is listening. It has a name if the response included one.
     Other(Option<InstanceName>),
 }
 
-impl Found {
-    /// Text of log lines and metrics.
+impl CheckResult {
+    /// Text for log lines and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
-            Found::Expected => "expected",
-            Found::Untold => "untold",
-            Found::Nobody => "nobody",
-            Found::Other(_) => "other",
+            CheckResult::Expected => "expected",
+            CheckResult::Inconclusive => "untold",
+            CheckResult::NotListening => "nobody",
+            CheckResult::Other(_) => "other",
         }
     }
 }
 
-/// How long a request of this target latency may be held up by a question, counted from when that was
-/// asked: a small part of what it may take.
-pub fn patience_within(target_latency: Duration, time_left: Duration) -> Duration {
-    (target_latency.min(time_left) / PATIENCE_PART).min(LONGEST_PATIENCE)
+/// Time that a request with this target latency and remaining time may wait for an identity check, measured
+/// from the start of the check.
+pub fn max_check_wait_for(target_latency: Duration, time_left: Duration) -> Duration {
+    (target_latency.min(time_left) / CHECK_WAIT_DIVISOR).min(MAX_CHECK_WAIT)
 }
 
-/// How long `offer` may be held up by a question.
-pub fn patience(offer: &Offer) -> Duration {
+/// Time that `offer` may wait for an identity check.
+pub fn max_check_wait(offer: &Offer) -> Duration {
     let target_latency = Duration::from_millis(u64::from(offer.target_latency_ms));
     let time_left = Duration::from_millis(u64::from(offer.time_left_ms));
-    patience_within(target_latency, time_left)
+    max_check_wait_for(target_latency, time_left)
 }
 
-/// A count of doubts: what was learnt under an earlier one confirms nothing.
+/// Incremented when the identity is invalidated. What was learnt in an earlier epoch confirms nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Doubts(u64);
+pub struct IdentityEpoch(u64);
 
-/// A question that is being asked; requests for the same instance share it.
+/// An identity check that is running; requests for the same instance share it.
 #[derive(Debug, Clone)]
-pub struct Question {
-    /// The instance that is meant.
+pub struct IdentityCheck {
+    /// The instance that is expected.
     pub expected: InstanceName,
-    doubts: Doubts,
-    asked: Moment,
-    found: watch::Receiver<Option<Found>>,
+    epoch: IdentityEpoch,
+    started: Moment,
+    result: watch::Receiver<Option<CheckResult>>,
 }
 
-impl Question {
-    /// The answer, where it comes within `patience` of the asking.
-    pub async fn found_within(mut self, patience: Duration) -> Option<Found> {
-        let until = clock::instant_of(self.asked + patience);
-        let told = tokio::time::timeout_at(until, self.found.wait_for(Option::is_some)).await;
-        told.ok()?.ok()?.clone()
+impl IdentityCheck {
+    /// The result, if it arrives within `max_wait` of the start of the check.
+    pub async fn result_within(mut self, max_wait: Duration) -> Option<CheckResult> {
+        let until = clock::instant_of(self.started + max_wait);
+        let received = tokio::time::timeout_at(until, self.result.wait_for(Option::is_some)).await;
+        received.ok()?.ok()?.clone()
     }
 }
 
-/// The side of a question that tells its answer.
-pub struct Asking {
-    question: Question,
-    found: watch::Sender<Option<Found>>,
+/// Handle by which a running check is completed.
+pub struct PendingCheck {
+    check: IdentityCheck,
+    sender: watch::Sender<Option<CheckResult>>,
 }
 
-impl Asking {
-    /// The instance that is meant.
+impl PendingCheck {
+    /// The instance that is expected.
     pub fn expected(&self) -> &InstanceName {
-        &self.question.expected
+        &self.check.expected
     }
 }
 
-/// What a gate knows of who is there.
+/// What a gate knows about the identity of the instance beside it.
 #[derive(Debug, Default)]
 pub struct InstanceIdentity {
-    /// The instance that answered last, unless something has shown its end since.
+    /// The instance that responded last, unless there has been a sign of its end since.
     confirmed: RefCell<Option<InstanceName>>,
-    doubts: Cell<Doubts>,
-    asking: RefCell<Option<Question>>,
+    epoch: Cell<IdentityEpoch>,
+    in_progress: RefCell<Option<IdentityCheck>>,
 }
 
 impl InstanceIdentity {
-    /// True when `instance` is known to be there, or nobody could tell otherwise when it was asked.
+    /// True when `instance` is known to be listening, or the last check for it was inconclusive.
     pub fn is_confirmed(&self, instance: &InstanceName) -> bool {
         self.confirmed.borrow().as_ref() == Some(instance)
     }
 
-    /// Something shows that the instance has ended.
-    pub fn doubt(&self) {
-        self.doubts.set(Doubts(self.doubts.get().0 + 1));
+    /// There is a sign that the instance has ended.
+    pub fn invalidate(&self) {
+        self.epoch.set(IdentityEpoch(self.epoch.get().0 + 1));
         *self.confirmed.borrow_mut() = None;
     }
 
-    /// Doubts until now.
-    pub fn doubts(&self) -> Doubts {
-        self.doubts.get()
+    /// The current epoch.
+    pub fn epoch(&self) -> IdentityEpoch {
+        self.epoch.get()
     }
 
-    /// The question whether `expected` is there: the one that is being asked, or a new one, with the
-    /// side that has to be told its answer.
-    pub fn question(&self, expected: &InstanceName) -> (Question, Option<Asking>) {
-        let doubts = self.doubts.get();
-        let mut asking = self.asking.borrow_mut();
-        let is_asked = |asked: &&Question| asked.expected == *expected && asked.doubts == doubts;
-        if let Some(asked) = asking.as_ref().filter(is_asked) {
-            return (asked.clone(), None);
+    /// Returns the running check for `expected`, or starts a new one. The caller has to complete a new one
+    /// through the handle.
+    pub fn start_check(&self, expected: &InstanceName) -> (IdentityCheck, Option<PendingCheck>) {
+        let epoch = self.epoch.get();
+        let mut in_progress = self.in_progress.borrow_mut();
+        let is_current = |check: &&IdentityCheck| check.expected == *expected && check.epoch == epoch;
+        if let Some(check) = in_progress.as_ref().filter(is_current) {
+            return (check.clone(), None);
         }
-        let (sender, found) = watch::channel(None);
-        let question = Question { expected: expected.clone(), doubts, asked: clock::now(), found };
-        *asking = Some(question.clone());
-        (question.clone(), Some(Asking { question, found: sender }))
+        let (sender, result) = watch::channel(None);
+        let check = IdentityCheck { expected: expected.clone(), epoch, started: clock::now(), result };
+        *in_progress = Some(check.clone());
+        (check.clone(), Some(PendingCheck { check, sender }))
     }
 
-    /// Learns the answer to a question and tells it to those who wait.
-    pub fn learn(&self, asking: Asking, found: Found) {
-        let Asking { question, found: told } = asking;
-        self.asking.borrow_mut().take_if(|asked| asked.found.same_channel(&question.found));
-        if question.doubts == self.doubts.get() {
-            *self.confirmed.borrow_mut() = match &found {
-                Found::Expected | Found::Untold => Some(question.expected),
-                Found::Nobody => None,
-                Found::Other(name) => name.clone(),
+    /// Completes a check: records its result and passes it to the waiting requests.
+    pub fn complete(&self, pending: PendingCheck, result: CheckResult) {
+        let PendingCheck { check, sender } = pending;
+        self.in_progress.borrow_mut().take_if(|current| current.result.same_channel(&check.result));
+        if check.epoch == self.epoch.get() {
+            *self.confirmed.borrow_mut() = match &result {
+                CheckResult::Expected | CheckResult::Inconclusive => Some(check.expected),
+                CheckResult::NotListening => None,
+                CheckResult::Other(name) => name.clone(),
             };
         }
-        // Those who asked may have left.
-        let _ = told.send(Some(found));
+        // The waiting requests may have been dropped.
+        let _ = sender.send(Some(result));
     }
 
-    /// `instance` has answered a request that was sent after these doubts.
-    pub fn confirm(&self, instance: &InstanceName, doubts: Doubts) {
-        if doubts == self.doubts.get() && !self.is_confirmed(instance) {
+    /// `instance` has responded to a request that was sent in `epoch`.
+    pub fn confirm(&self, instance: &InstanceName, epoch: IdentityEpoch) {
+        if epoch == self.epoch.get() && !self.is_confirmed(instance) {
             *self.confirmed.borrow_mut() = Some(instance.clone());
         }
     }
--- a/crates/sidecar/src/gate/idle_reuse.rs
+++ b/crates/sidecar/src/gate/idle_reuse.rs
@@ -1,8 +1,8 @@
-//! How long a connection to the instance may have rested and still be trusted. Pure.
+//! Limit of the time after which an idle connection to the instance may be reused. Pure.
 //!
-//! An instance may forget connections that rest, without a word; what is sent on one is lost.
-//! A connection that breaks on its first use after a rest shows that this was too long, and
-//! nothing of how long would not have been: it may have been forgotten long before.
+//! An instance may silently drop idle connections; a request sent on one is lost. A connection that breaks on
+//! its first use after being idle shows that its idle time was too long, but not which time would have been
+//! short enough: it may have been dropped long before.
 
 use std::time::Duration;
 
@@ -10,46 +10,48 @@
 
 use crate::model::RetrySafety;
 
-/// Rest up to which a connection is trusted where a lost request costs much: one that may run only
-/// once, for nobody can say whether it ran, and any while the instance is known to forget.
-const CAUTIOUS: Duration = Duration::from_millis(100);
-/// Part of a rest that was too long which is still trusted, if that is less.
-const TRUSTED_PART: f64 = 0.6;
-/// Shortest rest that is distrusted.
-const SHORTEST: Duration = Duration::from_millis(20);
-/// Time after which a lesson is forgotten.
-const LESSON_LASTS: Duration = Duration::from_secs(10);
-
-/// What was learnt about connections that rest.
+/// Limit used where a lost request is expensive: always for a request that may run at most once, because it
+/// is unknown whether it ran, and for any request while the instance is known to drop idle connections.
+const CAUTIOUS_IDLE_TIME: Duration = Duration::from_millis(100);
+/// Fraction of an idle time that was too long to which the limit is lowered, if that is less than
+/// [`CAUTIOUS_IDLE_TIME`].
+const TRUSTED_FRACTION: f64 = 0.6;
+/// Lower bound of the limit. A break after a shorter idle time isn't attributed to the idle time.
+const MIN_LIMIT: Duration = Duration::from_millis(20);
+/// Time after which a learned limit expires.
+const LIMIT_LIFETIME: Duration = Duration::from_secs(10);
+
+/// Limit of the idle time, learned from connections that broke.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct RestTrust {
-    lesson: Option<Lesson>,
+pub struct IdleReuseLimit {
+    learned: Option<LearnedLimit>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Lesson {
-    longest: Duration,
-    learnt: Moment,
+struct LearnedLimit {
+    max_idle_time: Duration,
+    learned_at: Moment,
 }
 
-impl RestTrust {
-    /// Longest rest after which a connection may carry a request.
-    pub fn longest(&self, safety: RetrySafety, now: Moment) -> Duration {
-        let lesson = self.lesson.filter(|lesson| now.since(lesson.learnt) < LESSON_LASTS);
-        let learnt = lesson.map_or(Duration::MAX, |lesson| lesson.longest);
+impl IdleReuseLimit {
+    /// Maximum idle time after which a connection may carry a request.
+    pub fn max_idle_time(&self, safety: RetrySafety, now: Moment) -> Duration {
+        let learned = self.learned.filter(|learned| now.since(learned.learned_at) < LIMIT_LIFETIME);
+        let limit = learned.map_or(Duration::MAX, |learned| learned.max_idle_time);
         match safety {
-            RetrySafety::Safe => learnt,
-            RetrySafety::Unsafe => learnt.min(CAUTIOUS),
+            RetrySafety::Safe => limit,
+            RetrySafety::Unsafe => limit.min(CAUTIOUS_IDLE_TIME),
         }
     }
 
-    /// A connection broke on its first use after this rest.
-    pub fn on_broken(&mut self, rested: Duration, now: Moment) {
-        if rested < SHORTEST {
+    /// A connection broke on its first use after being idle for `idle_time`.
+    pub fn on_broken(&mut self, idle_time: Duration, now: Moment) {
+        if idle_time < MIN_LIMIT {
             return;
         }
-        let known = self.longest(RetrySafety::Safe, now);
-        let longest = rested.mul_f64(TRUSTED_PART).min(CAUTIOUS).min(known).max(SHORTEST);
-        self.lesson = Some(Lesson { longest, learnt: now });
+        let known_limit = self.max_idle_time(RetrySafety::Safe, now);
+        let max_idle_time =
+            idle_time.mul_f64(TRUSTED_FRACTION).min(CAUTIOUS_IDLE_TIME).min(known_limit).max(MIN_LIMIT);
+        self.learned = Some(LearnedLimit { max_idle_time, learned_at: now });
     }
 }
--- a/crates/sidecar/src/gate/instance_connection.rs
+++ b/crates/sidecar/src/gate/instance_connection.rs
@@ -1,7 +1,7 @@
-//! Kept connections to the instance beside the node.
+//! Pool of keep-alive connections to the instance beside the node.
 //!
-//! A connection carries one exchange at a time. It is kept only when the exchange went
-//! through to its end and nothing else has arrived since.
+//! A connection carries one exchange at a time. It is reused only if the exchange was completed and no
+//! further data has arrived since.
 
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -15,124 +15,124 @@
 use tokio_util::codec::FramedRead;
 
 use crate::gate::idle_closes::IdleCloses;
-use crate::gate::idle_reuse::RestTrust;
+use crate::gate::idle_reuse::IdleReuseLimit;
 use crate::model::RetrySafety;
 use crate::transport;
 use olivegate_clock as clock;
 
-/// Longest head of an answer in bytes.
-const MAX_ANSWER_HEAD: usize = 64 * 1024;
-/// Time limit of a connection to the instance.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// Rest after which a connection is not used again, where the instance names none.
-const DEFAULT_REST: Duration = Duration::from_secs(6);
-/// Kept back from the rest that the instance names.
-const REST_RESERVE: Duration = Duration::from_millis(800);
+/// Maximum size of a response head in bytes.
+const MAX_RESPONSE_HEAD: usize = 64 * 1024;
+/// Time limit for connecting to the instance.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Idle time after which a connection isn't reused if the instance announces no timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Safety margin subtracted from the idle timeout that the instance announces.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
 
 /// A connection to the instance.
 pub struct InstanceConnection {
-    /// Answers.
-    pub answers: FramedRead<OwnedReadHalf, ResponseDecoder>,
-    /// Requests.
+    /// Reading half, decoding responses.
+    pub responses: FramedRead<OwnedReadHalf, ResponseDecoder>,
+    /// Writing half, for requests.
     pub requests: OwnedWriteHalf,
-    /// How long it rested before this exchange; none when it is new.
-    rested: Option<Duration>,
+    /// Time for which the connection was idle before this exchange; `None` for a new connection.
+    idle_time: Option<Duration>,
 }
 
-struct Resting {
+struct IdleConnection {
     connection: InstanceConnection,
     since: Instant,
     until: Instant,
 }
 
-/// Connections that rest.
+/// Pool of idle connections.
 #[derive(Default)]
 pub struct InstanceConnections {
-    resting: RefCell<Vec<Resting>>,
-    trust: Cell<RestTrust>,
+    idle: RefCell<Vec<IdleConnection>>,
+    reuse_limit: Cell<IdleReuseLimit>,
     closes: Cell<IdleCloses>,
-    /// One that rested was found closed in a way that is a sign of an end.
-    shows_end: Cell<bool>,
+    /// An idle connection was found closed in a way that suggests the end of the instance.
+    suspects_end: Cell<bool>,
 }
 
-/// What a connection that rested looks like.
+/// State in which an idle connection is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RestedState {
-    /// It is open and nothing has arrived on it.
+enum IdleState {
+    /// The connection is open and nothing has arrived on it.
     Clean,
-    /// Bytes have arrived that belong to no request.
-    Surplus,
-    /// The instance has closed it.
+    /// Data has arrived that belongs to no request.
+    UnexpectedData,
+    /// The instance has closed the connection.
     Closed,
 }
 
 impl InstanceConnection {
     fn new(stream: TcpStream) -> Self {
         let (reading, requests) = stream.into_split();
-        let answers = FramedRead::new(reading, ResponseDecoder::new(MAX_ANSWER_HEAD));
-        InstanceConnection { answers, requests, rested: None }
+        let responses = FramedRead::new(reading, ResponseDecoder::new(MAX_RESPONSE_HEAD));
+        InstanceConnection { responses, requests, idle_time: None }
     }
 
-    /// What has become of the connection while it rested; reads no more than a byte.
-    fn rested_state(&self) -> RestedState {
+    /// State of the connection after it was idle. Reads at most one byte.
+    fn idle_state(&self) -> IdleState {
         let mut byte = [0];
-        match self.answers.get_ref().try_read(&mut byte) {
-            Err(error) if error.kind() != ErrorKind::WouldBlock => RestedState::Closed,
-            Ok(0) => RestedState::Closed,
-            Err(_) if self.answers.read_buffer().is_empty() => RestedState::Clean,
-            Ok(_) | Err(_) => RestedState::Surplus,
+        match self.responses.get_ref().try_read(&mut byte) {
+            Err(error) if error.kind() != ErrorKind::WouldBlock => IdleState::Closed,
+            Ok(0) => IdleState::Closed,
+            Err(_) if self.responses.read_buffer().is_empty() => IdleState::Clean,
+            Ok(_) | Err(_) => IdleState::UnexpectedData,
         }
     }
 }
 
 impl InstanceConnections {
-    /// A connection that rests and may carry such a request, the last used first; `None` when
-    /// there is none to use.
+    /// Takes the most recently used idle connection that may carry a request of this retry safety; `None` if
+    /// there is none.
     pub fn take(&self, safety: RetrySafety) -> Option<InstanceConnection> {
         let now = Instant::now();
-        let longest = self.trust.get().longest(safety, clock::now());
+        let max_idle_time = self.reuse_limit.get().max_idle_time(safety, clock::now());
         loop {
-            let resting = self.resting.borrow_mut().pop()?;
-            let rested = now - resting.since;
-            if rested > longest {
-                self.leave(resting, safety);
+            let entry = self.idle.borrow_mut().pop()?;
+            let idle_time = now - entry.since;
+            if idle_time > max_idle_time {
+                self.put_back_or_clear(entry, safety);
                 return None;
             }
-            let mut connection = resting.connection;
-            if now >= resting.until {
+            let mut connection = entry.connection;
+            if now >= entry.until {
                 continue;
             }
-            match connection.rested_state() {
-                RestedState::Clean => {
-                    connection.rested = Some(rested);
-                    // A process that ends closes this one, too.
+            match connection.idle_state() {
+                IdleState::Clean => {
+                    connection.idle_time = Some(idle_time);
+                    // A process that ends would have closed this connection, too.
                     self.note_alive();
                     return Some(connection);
                 }
-                RestedState::Closed => self.note_closed(rested),
-                RestedState::Surplus => {}
+                IdleState::Closed => self.note_closed(idle_time),
+                IdleState::UnexpectedData => {}
             }
         }
     }
 
-    /// True when a connection was found closed, since this was asked last, as by the end of the instance:
-    /// it may have ended while nothing ran.
-    pub fn take_sign_of_end(&self) -> bool {
-        self.shows_end.take()
+    /// True if, since the last call, a connection was found closed in a way that suggests the end of the
+    /// instance: it may have ended while no request was running.
+    pub fn take_suspected_end(&self) -> bool {
+        self.suspects_end.take()
     }
 
-    /// The instance was seen to live after all that was found here until now.
+    /// The instance was seen alive after all closes found so far.
     pub fn note_alive(&self) {
-        self.shows_end.set(false);
+        self.suspects_end.set(false);
         let mut closes = self.closes.get();
         closes.on_alive();
         self.closes.set(closes);
     }
 
-    fn note_closed(&self, rested: Duration) {
+    fn note_closed(&self, idle_time: Duration) {
         let mut closes = self.closes.get();
-        if closes.on_closed(rested) {
-            self.shows_end.set(true);
+        if closes.on_closed(idle_time) {
+            self.suspects_end.set(true);
         }
         self.closes.set(closes);
     }
@@ -143,28 +143,29 @@
         self.closes.set(closes);
     }
 
-    /// Leaves a connection that rested too long, and those below, which rested longer, for
-    /// requests that may run again; closes them when they don't do for those either.
-    fn leave(&self, connection: Resting, safety: RetrySafety) {
-        let mut resting = self.resting.borrow_mut();
+    /// Handles a connection that was idle for too long; those below it in the pool were idle even longer.
+    /// They stay in the pool for requests that are safe to retry. If even those can't use them, the pool is
+    /// cleared.
+    fn put_back_or_clear(&self, entry: IdleConnection, safety: RetrySafety) {
+        let mut idle = self.idle.borrow_mut();
         match safety {
-            RetrySafety::Unsafe => resting.push(connection),
-            RetrySafety::Safe => resting.clear(),
+            RetrySafety::Unsafe => idle.push(entry),
+            RetrySafety::Safe => idle.clear(),
         }
     }
 
-    /// An exchange on a connection that had rested broke before its answer began.
+    /// An exchange broke before its response began. Learns from it if the connection had been idle.
     pub fn on_broken(&self, connection: &InstanceConnection) {
-        if let Some(rested) = connection.rested {
-            let mut trust = self.trust.get();
-            trust.on_broken(rested, clock::now());
-            self.trust.set(trust);
+        if let Some(idle_time) = connection.idle_time {
+            let mut reuse_limit = self.reuse_limit.get();
+            reuse_limit.on_broken(idle_time, clock::now());
+            self.reuse_limit.set(reuse_limit);
         }
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     pub async fn connect(&self, address: SocketAddr) -> std::io::Result<InstanceConnection> {
-        let stream = transport::connect(address, CONNECT_LIMIT).await.inspect_err(|error| {
+        let stream = transport::connect(address, CONNECT_TIMEOUT).await.inspect_err(|error| {
             if error.kind() == ErrorKind::ConnectionRefused {
                 self.note_ended();
             }
@@ -172,18 +173,19 @@
         Ok(InstanceConnection::new(stream))
     }
 
-    /// Keeps a connection whose exchange is whole. `rest` is the time that the instance
-    /// keeps it, where it named one. At most `most` rest at a time.
-    pub fn keep(&self, connection: InstanceConnection, rest: Option<Duration>, most: u32) {
-        let rest = rest.map_or(DEFAULT_REST, |rest| rest.saturating_sub(REST_RESERVE));
+    /// Returns a connection to the pool after a completed exchange. `idle_timeout` is the one that the
+    /// instance announced, if any. The pool holds at most `max_idle` connections.
+    pub fn keep(&self, connection: InstanceConnection, idle_timeout: Option<Duration>, max_idle: u32) {
+        let idle_timeout =
+            idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |timeout| timeout.saturating_sub(IDLE_TIMEOUT_MARGIN));
         let since = Instant::now();
-        let until = since + rest;
-        let mut resting = self.resting.borrow_mut();
-        resting.push(Resting { connection, since, until });
-        // Those at the bottom rest longest; one look a time keeps the list short.
-        let is_over = resting.first().is_some_and(|oldest| oldest.until < since);
-        if is_over || resting.len() > most as usize {
-            resting.remove(0);
+        let until = since + idle_timeout;
+        let mut idle = self.idle.borrow_mut();
+        idle.push(IdleConnection { connection, since, until });
+        // The first connection has been idle longest; removing at most one per call keeps the list short.
+        let is_expired = idle.first().is_some_and(|oldest| oldest.until < since);
+        if is_expired || idle.len() > max_idle as usize {
+            idle.remove(0);
         }
     }
 }
--- a/crates/sidecar/src/gate/instance_end.rs
+++ b/crates/sidecar/src/gate/instance_end.rs
@@ -1,7 +1,7 @@
-//! Whether the instance beside this node has ended.
+//! Detects whether the instance beside this node has ended.
 //!
-//! A connection that breaks is no end: instances break off answers, and connections are reset
-//! on the way. A process that has ended takes no connections: its port refuses them at once.
+//! A broken connection alone doesn't prove it: instances abort responses, and connections are reset in
+//! transit. A process that has ended accepts no connections, its port refuses them at once.
 
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -15,60 +15,61 @@
 use crate::gate::instance_connection::{InstanceConnection, InstanceConnections};
 use olivegate_clock as clock;
 
-/// Time in which a process that ends closes its ports, once its first connection is seen to be
-/// closed.
-const CLOSING_TIME: Duration = Duration::from_millis(5);
-/// Longest look: a port that neither takes nor refuses a connection tells nothing, and the failed
-/// request waits for what is found.
-const LOOK_LIMIT: Duration = Duration::from_millis(50);
+/// Time within which an ending process closes its ports after its first connection was seen closed.
+const PORT_CLOSE_DELAY: Duration = Duration::from_millis(5);
+/// Time limit of the port check: a port that neither accepts nor refuses a connection proves nothing, and the
+/// failed request waits for the result.
+const PORT_CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What is known of the end of one instance.
+/// What is known about the end of one instance.
 #[derive(Default)]
 pub struct InstanceEnd {
-    /// When it was last seen to have ended. It may start again under its name before that is known.
+    /// When the instance was last seen to have ended. It may restart under the same name before the gate
+    /// learns of the restart.
     ended: Cell<Option<Moment>>,
-    /// The look that is being taken: exchanges that break together share one.
-    looking: RefCell<Option<Rc<OnceCell<Option<Moment>>>>>,
+    /// The port check that is running; exchanges that break at the same time share it.
+    pending_check: RefCell<Option<Rc<OnceCell<Option<Moment>>>>>,
 }
 
 impl InstanceEnd {
-    /// When the instance ended, if it has; to be asked when an exchange has broken that began at `began`. A connection that comes of it is handed to `keep`.
-    pub async fn look(
+    /// Returns when the instance ended, if it has. To be called when an exchange that began at `began` has
+    /// broken. A connection that the check opens is passed to `keep`.
+    pub async fn check(
         &self,
         began: Moment,
         connections: &InstanceConnections,
         address: SocketAddr,
         keep: impl FnOnce(InstanceConnection),
     ) -> Option<Moment> {
-        let is_known = |ended: Moment| began <= ended;
-        if self.ended.get().is_some_and(is_known) {
+        let is_after_start = |ended: Moment| began <= ended;
+        if self.ended.get().is_some_and(is_after_start) {
             return self.ended.get();
         }
-        let look = self.looking.borrow_mut().get_or_insert_with(Rc::default).clone();
-        let found = *look.get_or_init(|| look_at_port(connections, address, keep)).await;
-        self.looking.borrow_mut().take_if(|current| Rc::ptr_eq(current, &look));
-        if !self.ended.get().is_some_and(is_known) {
-            self.ended.set(found.or(self.ended.get()));
+        let check = self.pending_check.borrow_mut().get_or_insert_with(Rc::default).clone();
+        let observed = *check.get_or_init(|| check_port(connections, address, keep)).await;
+        self.pending_check.borrow_mut().take_if(|current| Rc::ptr_eq(current, &check));
+        if !self.ended.get().is_some_and(is_after_start) {
+            self.ended.set(observed.or(self.ended.get()));
         }
-        self.ended.get().filter(|ended| is_known(*ended))
+        self.ended.get().filter(|ended| is_after_start(*ended))
     }
 }
 
-/// When the process behind the port was seen to be gone; none where it takes connections, or nobody
-/// can tell.
-async fn look_at_port(
+/// Returns when the process behind the port was seen to be gone; `None` if it accepts connections or the
+/// check is inconclusive.
+async fn check_port(
     connections: &InstanceConnections,
     address: SocketAddr,
     keep: impl FnOnce(InstanceConnection),
 ) -> Option<Moment> {
-    let broke = clock::now();
-    tokio::time::sleep(CLOSING_TIME).await;
-    match tokio::time::timeout(LOOK_LIMIT, connections.connect(address)).await {
+    let broken_at = clock::now();
+    tokio::time::sleep(PORT_CLOSE_DELAY).await;
+    match tokio::time::timeout(PORT_CHECK_TIMEOUT, connections.connect(address)).await {
         Ok(Ok(connection)) => {
             keep(connection);
             None
         }
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Some(broke),
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => Some(broken_at),
         Ok(Err(_)) | Err(_) => None,
     }
 }
--- a/crates/sidecar/src/gate/mod.rs
+++ b/crates/sidecar/src/gate/mod.rs
@@ -1,26 +1,27 @@
-//! The gate: the only place that sends requests to the instance beside this node.
+//! The gate, the only component that sends requests to the instance beside this node.
 //!
-//! Since only processes of its own machine reach an instance, the count of requests in it
-//! is exact. What the gate refuses never arrived, so an edge may offer it elsewhere.
+//! An instance accepts connections only from processes of its own machine, so the gate's count of requests in
+//! flight is exact. A request that the gate refuses never reached the instance, so an edge may offer it
+//! elsewhere.
 //!
-//! - [`slots`]: queue and limit of one instance, and waiting for a slot.
-//! - [`slot`]: a slot while a request holds it.
-//! - [`instance_connection`]: kept connections to the instance.
-//! - [`admission`]: which requests of clients may go on to their calls.
-//! - [`instance_end`]: whether the instance has ended.
-//! - [`identity`]: which instance is known to be there.
-//! - [`presence`]: whether the instance that is meant is there.
-//! - [`declared_rate`]: the rate that the instance declares.
-//! - [`exchange`]: one request and its answer on such a connection.
-//! - [`notice`]: what an instance says of itself in an answer.
-//! - [`running`]: a request for as long as the instance runs it.
-//! - [`shedding`]: which chains may begin while the instance sheds.
-//! - [`retries`]: how many repeats are let through.
-//! - [`quarantine`]: requests with which instances end.
-//! - [`idle_closes`]: which closes of idle connections are a sign of an end.
-//! - [`idle_reuse`]: how long a kept connection may have rested.
-//! - [`confirmation`]: the second step of an offer that may run only once.
-//! - [`serve`]: offers of other nodes.
+//! - [`slots`]: queue and concurrency limit of one instance.
+//! - [`slot`]: a slot held by a request.
+//! - [`instance_connection`]: pool of connections to the instance.
+//! - [`admission`]: admission control of client requests by the load of downstream services.
+//! - [`instance_end`]: detects whether the instance process has ended.
+//! - [`identity`]: which instance is known to be listening.
+//! - [`presence`]: checks whether the expected instance is listening.
+//! - [`declared_rate`]: the rate limit that the instance declares.
+//! - [`exchange`]: one request and its response on a connection.
+//! - [`notice`]: what an instance declares about itself in a response.
+//! - [`running`]: registers a request while the instance runs it.
+//! - [`shedding`]: admission levels for call chains while the instance sheds load.
+//! - [`retries`]: budget of retries that the gate lets through.
+//! - [`quarantine`]: requests that end the instances running them.
+//! - [`idle_closes`]: distinguishes idle timeouts of the instance from its end.
+//! - [`idle_reuse`]: how long an idle connection may be reused.
+//! - [`confirmation`]: second step of an offer that may run at most once.
+//! - [`serve`]: handles the offers of other nodes.
 
 pub mod admission;
 pub mod confirmation;
@@ -57,34 +58,34 @@
 use crate::reply::{Body, Failure, FailureReason, GateReply, Load, refused};
 use crate::state::Node;
 use confirmation::Confirmation;
-use declared_rate::LearntBy;
-use identity::{Doubts, InstanceIdentity};
+use declared_rate::RateSource;
+use identity::{IdentityEpoch, InstanceIdentity};
 use olivegate_clock as clock;
 use presence::reply_for_absent;
 use quarantine::run_content::RunContent;
 use quarantine::watched_run::WatchedRun;
 use quarantine::{GateQuarantine, RunPermit};
-use retries::GateRepeats;
-use running::Running;
+use retries::GateRetries;
+use running::RunningGuard;
 use slots::InstanceSlots;
 
-/// Slots assumed for an instance that the directory does not list yet.
+/// Slots assumed for an instance that the directory doesn't list yet.
 const UNLISTED_SLOTS: u32 = 8;
-/// When to come back after a refusal that says nothing about load.
+/// Retry-after of refusals that have nothing to do with load.
 const SHORT_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// Occupancy that a stopping node adds to its own.
 const STOPPING_OCCUPANCY: f32 = 2.0;
-/// Kept back from the time that the instance gets, for the way of its answer.
-const ANSWER_TRAVEL: Duration = Duration::from_millis(15);
+/// Reserved from the remaining time for returning the response; the instance gets the rest.
+const RESPONSE_TRANSIT_TIME: Duration = Duration::from_millis(15);
 
-/// Instances beside this node: the present one, and earlier ones that still answer.
+/// The instances beside this node: the present one, and earlier ones that still respond.
 #[derive(Default)]
 pub struct Gate {
     instances: RefCell<HashMap<InstanceName, Rc<InstanceSlots>>>,
-    repeats: GateRepeats,
-    /// Which instance is known to be there.
+    retries: GateRetries,
+    /// Which instance is known to be listening.
     pub identity: InstanceIdentity,
-    /// Requests with which instances end.
+    /// Quarantine of requests that end instances.
     pub quarantine: GateQuarantine,
 }
 
@@ -97,61 +98,63 @@
         let count = listed.as_ref().map_or(UNLISTED_SLOTS, |instance| instance.slots);
         let slots = Rc::new(InstanceSlots::new(count));
         listed.into_iter().for_each(|instance| {
-            slots.follow(&instance);
+            slots.update_from(&instance);
         });
         self.instances.borrow_mut().insert(name.clone(), slots.clone());
         slots
     }
 
-    /// Follows the directory: slot counts, and instances that are gone or have started again. One
-    /// that came back under its name must not pass for leaving, or ended, since the one before was.
+    /// Updates the slots from the directory: slot counts change, and instances that are gone or have
+    /// restarted are removed. An instance that restarted under the same name must not inherit the leaving or
+    /// ended state of its previous incarnation.
     pub fn follow_directory(&self, node: &Node) {
         let cluster = node.cluster.borrow();
         self.instances.borrow_mut().retain(|name, slots| {
-            let is_same = cluster.directory.instance(name).is_none_or(|instance| slots.follow(&instance));
-            let is_of_use = cluster.directory.status(name) != InstanceStatus::Gone || slots.in_use();
-            let is_kept = is_same && is_of_use;
+            let is_same_incarnation =
+                cluster.directory.instance(name).is_none_or(|instance| slots.update_from(&instance));
+            let is_needed = cluster.directory.status(name) != InstanceStatus::Gone || slots.in_use();
+            let is_kept = is_same_incarnation && is_needed;
             if !is_kept && slots.is_limited() {
-                declared_rate::tell_forgotten(&slots.start_name(name), &node.metrics);
+                declared_rate::log_rate_forgotten(&slots.start_name(name), &node.metrics);
             }
             is_kept
         });
     }
 
-    /// Follows the pace of this process, which has to feed the instances.
+    /// Passes on whether this process keeps up: it has to supply the instances with requests.
     pub fn on_process_pace(&self, pace: ProcessPace) {
         self.instances.borrow().values().for_each(|slots| slots.on_process_pace(pace));
     }
 
-    /// Queue and limit of one instance, for log lines.
+    /// Queue and limit of one instance, as fields of a log line.
     pub fn status(&self, name: &InstanceName) -> String {
         self.instances.borrow().get(name).map(|slots| slots.status()).unwrap_or_default()
     }
 
-    /// True when the instance closes its connections as one that leaves does.
+    /// True when the instance closes its connections like one that is leaving.
     pub fn is_leaving(&self, name: &InstanceName) -> bool {
         self.instances.borrow().get(name).is_some_and(|slots| slots.is_leaving())
     }
 
-    /// Repeats a second that calls to an instance which sheds may count on.
-    fn repeats_for(&self, node: &Node, slots: &InstanceSlots) -> f64 {
-        if slots.shed_part() > 0.0 { self.repeats.rate(node, clock::now()) } else { f64::MAX }
+    /// Retries per second that are available to calls; unlimited while the instance sheds nothing.
+    fn retry_rate_for(&self, node: &Node, slots: &InstanceSlots) -> f64 {
+        if slots.shed_fraction() > 0.0 { self.retries.rate(node, clock::now()) } else { f64::MAX }
     }
 
     fn load_of(&self, node: &Node, name: &InstanceName, slots: &InstanceSlots, class: &ClassKey) -> Load {
         let is_leaving = node.cluster.borrow().directory.has_announced_leaving(name, slots.incarnation());
-        Load { self_report: slots.self_report(is_leaving), ..slots.load(class, self.repeats_for(node, slots)) }
+        Load { self_report: slots.self_report(is_leaving), ..slots.load(class, self.retry_rate_for(node, slots)) }
     }
 
-    /// Load of one instance, to be told to the edge of an offer made for `root` at `hop`: with the
-    /// level of its class here and further down. A node that stops seems busy, so that it
-    /// is chosen only where nothing else is left.
+    /// Load of one instance, for the reply to an offer made for `root` at `hop`. The level is the lower one
+    /// of this instance and the services further downstream. A stopping node reports itself as busy, so that
+    /// edges choose it only as a last resort.
     pub fn load(&self, node: &Node, name: &InstanceName, root: &RootRequest, hop: u8) -> Load {
         let class = root.class();
         let slots = self.instances.borrow().get(name).cloned();
         let mut load = slots.map(|slots| self.load_of(node, name, &slots, &class)).unwrap_or_default();
-        let deeper = node.levels.borrow().headroom(&class, hop.saturating_add(1), clock::now());
-        load.level = load.level.min(deeper as f32);
+        let downstream_level = node.levels.borrow().headroom(&class, hop.saturating_add(1), clock::now());
+        load.level = load.level.min(downstream_level as f32);
         if node.stop.is_stopping() {
             load.occupancy += STOPPING_OCCUPANCY;
         }
@@ -159,49 +162,50 @@
     }
 }
 
-/// Runs an offer: waits for a slot, then has the instance run it. Dropping the future
-/// cancels the request, wherever it is.
+/// Runs an offer: waits for a slot, then sends the request to the instance. Dropping the future cancels the
+/// request, whether it is queued or running.
 pub async fn run_offer(node: &Rc<Node>, mut offer: Offer, body: Body, confirmation: Confirmation) -> GateReply {
     let arrived = clock::now();
     lateness::sample(node, arrived);
     let deadline = arrived + Duration::from_millis(u64::from(offer.time_left_ms));
-    if let Some(reason) = obstacle(node, &offer.instance) {
+    if let Some(reason) = refusal_reason(node, &offer.instance) {
         let refusal = Refusal::new(reason, SHORT_RETRY_AFTER);
         let successor = successor_of(node, &offer.instance);
         return count_refusal(node, &offer, GateReply::Refused { refusal, successor });
     }
     let slots = node.gate.slots_of(node, &offer.instance);
-    if let Some(told) = offer.declared {
-        let by = LearntBy::Edge { request: &offer.request_id };
-        declared_rate::take_reminder(&slots, &offer.instance, told, by, &node.metrics);
+    if let Some(reported) = offer.declared {
+        let source = RateSource::Edge { request: &offer.request_id };
+        declared_rate::apply_edge_report(&slots, &offer.instance, reported, source, &node.metrics);
     }
-    if !node.gate.repeats.allows(node, &offer, arrived) {
+    if !node.gate.retries.allows(node, &offer, arrived) {
         return count_refusal(node, &offer, refused(RefusalReason::RepeatBudget, SHORT_RETRY_AFTER));
     }
     if let Err(refusal) = admission::admit_root(node, &mut offer, arrived) {
         return count_refusal(node, &offer, GateReply::Refused { refusal, successor: None });
     }
-    // Each try comes under a new id: only its content shows that instances ended with it before. Without
-    // this, 17 instances of four ended within 16 s under one client's request.
+    // A client's retries have new request ids, so only the content shows that instances ended under the
+    // request before. Without this check, one client's request ended 17 instance processes of four instances
+    // within 16 s.
     let (content, body) = RunContent::of(node, &offer, body);
     let permit = match node.gate.quarantine.admit(node, &offer, &content).await {
         Ok(permit) => permit,
         Err(refusal) => return count_refusal(node, &offer, GateReply::Refused { refusal, successor: None }),
     };
-    // What is refused anyway does not wait for who is there.
+    // The identity check comes after the other checks, so that requests that these refuse don't wait for it.
     if let Some(reply) = reply_for_absent(node, &offer, &slots).await {
         return count_refusal(node, &offer, reply);
     }
-    slots.note_demand(&offer, arrived);
-    let demand = demand_of(&offer, &slots, deadline);
-    let slot = match slots.acquire(demand).await {
+    slots.record_demand(&offer, arrived);
+    let slot_request = slot_request_for(&offer, &slots, deadline);
+    let slot = match slots.acquire(slot_request).await {
         Ok(slot) => slot,
         Err(refusal) => return count_refusal(node, &offer, GateReply::Refused { refusal, successor: None }),
     };
     if !confirmation.obtain().await {
         return count_refusal(node, &offer, refused(RefusalReason::GateUnreachable, SHORT_RETRY_AFTER));
     }
-    if let Some(reason) = obstacle(node, &offer.instance) {
+    if let Some(reason) = refusal_reason(node, &offer.instance) {
         return count_refusal(node, &offer, refused(reason, SHORT_RETRY_AFTER));
     }
     let body = node.gate.quarantine.buffer_suspected_body(&content, body).await;
@@ -221,53 +225,53 @@
     deadline: Moment,
 ) -> GateReply {
     let started = clock::now();
-    let time_left = deadline.since(started).saturating_sub(ANSWER_TRAVEL);
+    let time_left = deadline.since(started).saturating_sub(RESPONSE_TRANSIT_TIME);
     if time_left.is_zero() {
         return count_refusal(node, &offer, refused(RefusalReason::DeadlineExceeded, SHORT_RETRY_AFTER));
     }
-    if !node.gate.repeats.begin(node, &offer, started) {
+    if !node.gate.retries.begin(node, &offer, started) {
         return count_refusal(node, &offer, refused(RefusalReason::RepeatBudget, SHORT_RETRY_AFTER));
     }
     let slots = slot.slots().clone();
     let connection = slots.connections().take(offer.safety);
-    if slots.connections().take_sign_of_end() {
-        node.gate.identity.doubt();
+    if slots.connections().take_suspected_end() {
+        node.gate.identity.invalidate();
     }
     if let Some(reply) = reply_for_absent(node, &offer, &slots).await {
         return count_refusal(node, &offer, reply);
     }
-    let doubts = node.gate.identity.doubts();
+    let epoch = node.gate.identity.epoch();
     log_start(node, &offer, time_left);
-    let parent = Running::begin(&node.lineage, &offer, started + time_left);
+    let running_guard = RunningGuard::begin(&node.lineage, &offer, started + time_left);
     let mut watched = WatchedRun::begin(node, &offer, content, permit, slots.clone());
     slot.note_sent();
-    let running = exchange::run(node, &slots, connection, &offer, body, time_left);
+    let exchange_future = exchange::run(node, &slots, connection, &offer, body, time_left);
     let limit = clock::instant_of(deadline);
-    let result = match tokio::time::timeout_at(limit, running).await {
+    let result = match tokio::time::timeout_at(limit, exchange_future).await {
         Ok(result) => result,
         Err(_) => Err(Failure::unknown(FailureReason::TimedOut)),
     };
-    let used = clock::now().since(started);
-    // What goes beyond is a standstill of this process: the instance had no longer.
-    let taken = used.min(time_left);
+    let elapsed = clock::now().since(started);
+    // Time beyond `time_left` is a stall of this process: the instance didn't have longer than that.
+    let time_in_instance = elapsed.min(time_left);
     match result {
-        Ok(mut answer) => {
-            note_alive(node, &offer, &slots, doubts);
-            answer.fault =
-                node.lineage.borrow_mut().attribute_fault(parent.key(), answer.head.status, clock::now());
+        Ok(mut response) => {
+            note_alive(node, &offer, &slots, epoch);
+            response.fault =
+                node.lineage.borrow_mut().attribute_fault(running_guard.key(), response.head.status, clock::now());
             node.metrics.exchanges.with_label_values(&["answered"]).inc();
-            slot.note_answer(&offer, answer.fault, taken);
-            node.gate.repeats.on_answer(node, &offer, answer.fault, clock::now());
-            GateReply::Answered(slot::holding(watched.on_answer(answer), slot))
+            slot.note_response(&offer, response.fault, time_in_instance);
+            node.gate.retries.on_response(node, &offer, response.fault, clock::now());
+            GateReply::Answered(slot::hold_until_read(watched.on_response(response), slot))
         }
         Err(mut failure) => {
             failure.reason = watched.on_failure(failure.reason).await;
             node.metrics.exchanges.with_label_values(&[failure.reason.as_str()]).inc();
-            slot.note_failure(&offer, failure, taken);
+            slot.note_failure(&offer, failure, time_in_instance);
             if failure.reason == FailureReason::RefusedByInstance {
-                node.gate.repeats.on_shed(node, &offer, clock::now());
+                node.gate.retries.on_shed(node, &offer, clock::now());
             }
-            log_failure(node, &offer, failure, used, watched.content());
+            log_failure(node, &offer, failure, elapsed, watched.content());
             note_gone_instance(node, &offer, failure);
             GateReply::Failed(failure)
         }
@@ -282,13 +286,13 @@
             display_id(&offer.request_id),
             offer.route,
             offer.instance,
-            u128::from(offer.time_left_ms).saturating_sub((time_left + ANSWER_TRAVEL).as_millis()),
+            u128::from(offer.time_left_ms).saturating_sub((time_left + RESPONSE_TRANSIT_TIME).as_millis()),
             time_left.as_millis(),
         );
     }
 }
 
-fn log_failure(node: &Node, offer: &Offer, failure: Failure, used: Duration, content: &RunContent) {
+fn log_failure(node: &Node, offer: &Offer, failure: Failure, elapsed: Duration, content: &RunContent) {
     let content =
         if failure.reason == FailureReason::InstanceEnded { content.digest_text() } else { "none".into() };
     if node.may_log(LogClass::Failure, &offer.request_id) {
@@ -300,13 +304,13 @@
             offer.instance,
             failure.reason.as_str(),
             failure.may_have_run,
-            used.as_millis(),
+            elapsed.as_millis(),
         );
     }
 }
 
-/// Why the instance may not get a request now.
-fn obstacle(node: &Node, name: &InstanceName) -> Option<RefusalReason> {
+/// The reason for which requests to the instance are refused now, if any.
+fn refusal_reason(node: &Node, name: &InstanceName) -> Option<RefusalReason> {
     if node.stop.is_closing() {
         return Some(RefusalReason::NodeNotReady);
     }
@@ -316,7 +320,7 @@
     }
 }
 
-fn demand_of(offer: &Offer, slots: &InstanceSlots, deadline: Moment) -> SlotRequest {
+fn slot_request_for(offer: &Offer, slots: &InstanceSlots, deadline: Moment) -> SlotRequest {
     SlotRequest {
         importance: offer.root.importance,
         group: GroupName::new(CALLER_GROUP),
@@ -329,19 +333,19 @@
     }
 }
 
-/// The instance beside this node that took the place of `meant`.
-fn successor_of(node: &Node, meant: &InstanceName) -> Option<Box<Instance>> {
+/// The instance that has replaced `expected` beside this node, if it is ready.
+fn successor_of(node: &Node, expected: &InstanceName) -> Option<Box<Instance>> {
     let settings = node.settings();
     let cluster = node.cluster.borrow();
     let directory = &cluster.directory;
     let present = directory.instance_at(settings.instance)?;
-    let takes_its_place = present.name != *meant && directory.status(&present.name) == InstanceStatus::Ready;
-    takes_its_place.then(|| Box::new(Instance::clone(&present)))
+    let is_successor = present.name != *expected && directory.status(&present.name) == InstanceStatus::Ready;
+    is_successor.then(|| Box::new(Instance::clone(&present)))
 }
 
-/// The instance beside this node named itself. The source may not list it yet, when it has
-/// just started; its service is the one of this machine.
-fn meet_instance(node: &Node, name: &str) {
+/// Adds the instance beside this node to the directory after it has named itself. The source may not list it
+/// yet if it has just started. It belongs to the service of this machine.
+fn observe_instance(node: &Node, name: &str) {
     let settings = node.settings();
     let now = clock::now();
     let slots = node.cluster.borrow().directory.slots_of_service(&settings.service);
@@ -357,16 +361,16 @@
     node.update_directory("gate", |directory| directory.observe(instance, now));
 }
 
-/// The instance has answered a request that was sent after these doubts of it.
-fn note_alive(node: &Node, offer: &Offer, slots: &InstanceSlots, doubts: Doubts) {
+/// The instance has responded to a request that was sent in `epoch`.
+fn note_alive(node: &Node, offer: &Offer, slots: &InstanceSlots, epoch: IdentityEpoch) {
     let identity = &node.gate.identity;
-    if doubts == identity.doubts() {
-        identity.confirm(&offer.instance, doubts);
+    if epoch == identity.epoch() {
+        identity.confirm(&offer.instance, epoch);
         slots.connections().note_alive();
     }
 }
 
-/// An instance that another one answers for is gone, whatever the source says.
+/// Marks an instance as gone when another one responds at its address, even if the source still lists it.
 fn note_gone_instance(node: &Node, offer: &Offer, failure: Failure) {
     if failure.reason == FailureReason::WrongInstance {
         let now = clock::now();
--- a/crates/sidecar/src/gate/notice.rs
+++ b/crates/sidecar/src/gate/notice.rs
@@ -1,4 +1,4 @@
-//! What an instance says of itself in an answer.
+//! What an instance declares about itself in the header fields of a response.
 
 use std::time::Duration;
 
@@ -7,62 +7,62 @@
 
 use crate::wire_names::WireNames;
 
-/// Value of the field by which an instance says that it leaves.
-const LEAVES: &[u8] = b"1";
+/// Value of the header field by which an instance announces that it is leaving.
+const LEAVING_VALUE: &[u8] = b"1";
 
-/// What an answer says of the rate that its instance takes.
+/// What a response declares about the request rate that its instance accepts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RateNotice {
-    /// It names none.
+    /// No limit is declared.
     Unlimited,
-    /// At most this.
+    /// The instance accepts at most this rate.
     Limited(DeclaredRate),
-    /// Nothing that can be understood; what was known holds on.
+    /// The value can't be parsed; the previously known rate stays in force.
     Unreadable(RateError),
 }
 
-/// What an instance says of itself in an answer.
+/// What an instance declares about itself in a response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Notice {
-    /// The rate that it takes.
+    /// The request rate that it accepts.
     pub rate: RateNotice,
-    /// True when it leaves.
+    /// True when it is leaving.
     pub is_leaving: bool,
-    /// True when it closes the connection.
+    /// True when it closes the connection after this response.
     pub closes: bool,
-    /// For how long it keeps an idle connection, where it names that.
+    /// Idle timeout of its connections, if announced.
     pub idle_timeout: Option<Duration>,
 }
 
 impl Notice {
-    /// What the answer with this head says.
+    /// Parses the head of a response.
     pub fn of(head: &ResponseHead, wire_names: &WireNames) -> Self {
-        let leaves = head.fields.get(wire_names.leaving);
+        let leaving = head.fields.get(wire_names.leaving);
         Notice {
             rate: rate_of(head, wire_names),
-            is_leaving: leaves.is_some_and(|value| value.as_ref().trim_ascii() == LEAVES),
+            is_leaving: leaving.is_some_and(|value| value.as_ref().trim_ascii() == LEAVING_VALUE),
             closes: !head.keeps_connection(),
             idle_timeout: idle_timeout_of(head),
         }
     }
 }
 
-/// The smallest of the rates that are named; an unreadable one makes the answer unreadable.
+/// The lowest declared rate; unreadable if any of the values is.
 fn rate_of(head: &ResponseHead, wire_names: &WireNames) -> RateNotice {
-    let mut named = RateNotice::Unlimited;
+    let mut declared = RateNotice::Unlimited;
     for value in head.fields.all(wire_names.declared_rate) {
         let text = std::str::from_utf8(value).unwrap_or_default();
-        named = match (text.parse::<DeclaredRate>(), named) {
+        declared = match (text.parse::<DeclaredRate>(), declared) {
             (Err(error), _) => return RateNotice::Unreadable(error),
             (Ok(rate), RateNotice::Limited(known)) if known <= rate => RateNotice::Limited(known),
             (Ok(rate), _) => RateNotice::Limited(rate),
         };
     }
-    named
+    declared
 }
 
 fn idle_timeout_of(head: &ResponseHead) -> Option<Duration> {
     let value = head.fields.text("keep-alive")?;
-    let named = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
-    named.and_then(|seconds| seconds.trim().parse().ok()).map(Duration::from_secs)
+    let declared = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="));
+    declared.and_then(|seconds| seconds.trim().parse().ok()).map(Duration::from_secs)
 }
--- a/crates/sidecar/src/gate/quarantine/run_history.rs
+++ b/crates/sidecar/src/gate/quarantine/run_history.rs
@@ -69,7 +69,7 @@
 pub struct AbandonedRuns(RefCell<VecDeque<(Moment, Run)>>);
 
 impl AbandonedRuns {
-    /// Adds a run that was abandoned at `now`; drops the oldest ones beyond [`MAX_ABANDONED`].
+    /// Adds a run that was abandoned at `now`; drops the oldest ones beyond `MAX_ABANDONED`.
     pub fn note(&self, run: Run, now: Moment) {
         let mut abandoned = self.0.borrow_mut();
         abandoned.truncate(MAX_ABANDONED - 1);
--- a/crates/sidecar/src/gate/quarantine/watched_run.rs
+++ b/crates/sidecar/src/gate/quarantine/watched_run.rs
@@ -52,8 +52,8 @@
     }
 
     /// Returns the answer to forward, with its body watched to the end.
-    pub fn on_answer(mut self, answer: Response) -> Response {
-        let Response { head, body, fault } = answer;
+    pub fn on_response(mut self, response: Response) -> Response {
+        let Response { head, body, fault } = response;
         let body = match body {
             Body::Whole(bytes) => {
                 self.on_answered(head.status);
@@ -113,9 +113,9 @@
         let connections = self.slots.connections();
         let keep = |connection| connections.keep(connection, None, self.slots.limit());
         let address = self.node.settings().instance;
-        let ended = self.slots.end().look(self.run.began, connections, address, keep).await;
+        let ended = self.slots.end().check(self.run.began, connections, address, keep).await;
         if ended.is_some() {
-            self.node.gate.identity.doubt();
+            self.node.gate.identity.invalidate();
         }
         ended
     }
--- a/crates/sidecar/src/gate/running.rs
+++ b/crates/sidecar/src/gate/running.rs
@@ -1,4 +1,4 @@
-//! A request for as long as the instance runs it: calls that the instance makes meanwhile may be its own.
+//! Registers a request while the instance runs it: calls that the instance makes meanwhile may belong to it.
 
 use std::cell::RefCell;
 
@@ -8,14 +8,14 @@
 use crate::lineage::{Lineage, RunningKey, RunningRequest};
 use olivegate_clock as clock;
 
-/// A request that the instance runs; dropped when it does no more.
-pub struct Running<'a> {
+/// Guard of a request that the instance is running; the request is unregistered when the guard is dropped.
+pub struct RunningGuard<'a> {
     lineage: &'a RefCell<Lineage>,
     key: RunningKey,
 }
 
-impl<'a> Running<'a> {
-    /// The instance begins to run the request of `offer`.
+impl<'a> RunningGuard<'a> {
+    /// Registers the request of `offer`, which the instance begins to run.
     pub fn begin(lineage: &'a RefCell<Lineage>, offer: &Offer, deadline: Moment) -> Self {
         let retry_probability = if offer.is_retry { 1.0 } else { f64::from(offer.parent_retry_probability) };
         let request = RunningRequest {
@@ -26,16 +26,16 @@
             root: offer.root.clone(),
         };
         let key = lineage.borrow_mut().begin(request);
-        Running { lineage, key }
+        RunningGuard { lineage, key }
     }
 
-    /// What names it among those that run.
+    /// Key of the request among the running ones.
     pub fn key(&self) -> RunningKey {
         self.key
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         self.lineage.borrow_mut().end(self.key, clock::now());
     }
--- a/crates/sidecar/src/gate/serve.rs
+++ b/crates/sidecar/src/gate/serve.rs
@@ -1,4 +1,4 @@
-//! Offers of other nodes: reads them, runs them, and says how it goes.
+//! Handles the offers of other nodes: reads and runs them, and sends progress and replies.
 
 use std::rc::Rc;
 
@@ -16,27 +16,27 @@
 use crate::state::Node;
 use crate::transport;
 
-/// Pieces of a request's body that may wait for the instance.
-const BODY_PIECES: usize = 4;
+/// Number of pieces of a request body that are buffered for the instance.
+const BODY_BUFFER_PIECES: usize = 4;
 
-/// Takes connections until the process ends.
+/// Accepts connections until the process ends.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
-    let most = node.settings().machine.max_connections();
-    let serve = |stream, place| connection(node.clone(), stream, place);
-    transport::serve_connections("inbound", listener, most, serve).await;
+    let max_connections = node.settings().machine.max_connections();
+    let serve = |stream, permit| connection(node.clone(), stream, permit);
+    transport::serve_connections("inbound", listener, max_connections, serve).await;
 }
 
-async fn connection(node: Rc<Node>, stream: TcpStream, place: ConnectionPermit) {
+async fn connection(node: Rc<Node>, stream: TcpStream, permit: ConnectionPermit) {
     let mut stream = gate_protocol::framed(stream);
     loop {
         let frame = tokio::select! {
             biased;
             frame = stream.next() => frame,
-            () = place.evicted() => return,
+            () = permit.evicted() => return,
         };
         let Some(Ok(frame)) = frame else { return };
-        place.mark_busy();
-        let goes_on = match gate_protocol::decode::<EdgeMessage>(&frame) {
+        permit.mark_busy();
+        let is_reusable = match gate_protocol::decode::<EdgeMessage>(&frame) {
             Ok(EdgeMessage::Offer(offer)) => serve_offer(&node, &mut stream, *offer).await,
             Ok(EdgeMessage::Fetch(known)) => {
                 let update = peers::cluster_update_for(&node, known);
@@ -44,35 +44,35 @@
             }
             Ok(EdgeMessage::Data(_) | EdgeMessage::End | EdgeMessage::Confirm) | Err(_) => false,
         };
-        if !goes_on {
+        if !is_reusable {
             return;
         }
-        place.mark_idle();
+        permit.mark_idle();
     }
 }
 
-/// The way from the connection to the request's body.
-enum Feed {
-    /// The body is whole, or nobody wants more of it.
+/// Forwarding of body pieces from the connection to the request.
+enum BodyFeed {
+    /// The body is complete, or the request no longer reads it.
     Closed,
-    /// Pieces go to the sender.
+    /// Pieces are passed to the sender.
     Open(mpsc::Sender<Result<Bytes, IncompleteBody>>),
-    /// A piece that waits for room.
+    /// A piece waits for room in the buffer.
     Full(mpsc::Sender<Result<Bytes, IncompleteBody>>, Bytes),
 }
 
-fn body_of(offer: &Offer) -> (Body, Feed) {
+fn body_of(offer: &Offer) -> (Body, BodyFeed) {
     match &offer.body {
-        OfferedBody::Whole(bytes) => (Body::Whole(bytes.clone()), Feed::Closed),
+        OfferedBody::Whole(bytes) => (Body::Whole(bytes.clone()), BodyFeed::Closed),
         OfferedBody::Streamed(length) => {
-            let (sender, receiver) = mpsc::channel(BODY_PIECES);
-            (Body::Stream(crate::edge::request_assembly::body_stream(receiver), *length), Feed::Open(sender))
+            let (sender, receiver) = mpsc::channel(BODY_BUFFER_PIECES);
+            (Body::Stream(crate::edge::request_assembly::body_stream(receiver), *length), BodyFeed::Open(sender))
         }
     }
 }
 
-/// Serves one offer; false when the connection can't be used again. When the edge closes
-/// the connection the request is dropped, wherever it is.
+/// Serves one offer. Returns false if the connection can't be reused. If the edge closes the connection, the
+/// request is cancelled, whether it is queued or running.
 async fn serve_offer(node: &Rc<Node>, stream: &mut GateStream, offer: Offer) -> bool {
     let _in_flight = node.stop.track_request();
     let (instance, root, hop) = (offer.instance.clone(), offer.root.clone(), offer.hop);
@@ -83,7 +83,7 @@
     let mut progress =
         tokio::time::interval_at(tokio::time::Instant::now() + PROGRESS_INTERVAL, PROGRESS_INTERVAL);
     let reply = loop {
-        let is_full = matches!(feed, Feed::Full(..));
+        let is_full = matches!(feed, BodyFeed::Full(..));
         tokio::select! {
             biased;
             frame = stream.next(), if !is_full => match next_feed(feed, frame, &mut relay) {
@@ -96,7 +96,7 @@
                 }
             }
             reply = &mut running => break reply,
-            next = make_room(&mut feed), if is_full => feed = next,
+            next = forward_pending(&mut feed), if is_full => feed = next,
             _ = progress.tick() => {
                 if stream.send(gate_protocol::encode(&GateMessage::Progress)).await.is_err() {
                     return false;
@@ -104,36 +104,40 @@
             }
         }
     };
-    let whole_request = matches!(feed, Feed::Closed);
-    send_reply(stream, node.gate.load(node, &instance, &root, hop), reply).await && whole_request
+    let is_request_complete = matches!(feed, BodyFeed::Closed);
+    send_reply(stream, node.gate.load(node, &instance, &root, hop), reply).await && is_request_complete
 }
 
-/// What a frame makes of the feed; `None` when the edge gave up or broke the protocol.
-fn next_feed(feed: Feed, frame: Option<std::io::Result<bytes::BytesMut>>, relay: &mut GrantRelay) -> Option<Feed> {
+/// Applies a frame to the feed; `None` if the edge gave up or violated the protocol.
+fn next_feed(
+    feed: BodyFeed,
+    frame: Option<std::io::Result<bytes::BytesMut>>,
+    relay: &mut GrantRelay,
+) -> Option<BodyFeed> {
     let frame = frame?.ok()?;
     match (gate_protocol::decode::<EdgeMessage>(&frame).ok()?, feed) {
         (EdgeMessage::Confirm, feed) => {
             relay.confirm();
             Some(feed)
         }
-        (EdgeMessage::Data(data), Feed::Open(sender)) => Some(Feed::Full(sender, data)),
-        (EdgeMessage::Data(_), Feed::Closed) => Some(Feed::Closed),
-        (EdgeMessage::End, Feed::Open(_)) => Some(Feed::Closed),
-        (EdgeMessage::End, Feed::Closed) => Some(Feed::Closed),
+        (EdgeMessage::Data(data), BodyFeed::Open(sender)) => Some(BodyFeed::Full(sender, data)),
+        (EdgeMessage::Data(_), BodyFeed::Closed) => Some(BodyFeed::Closed),
+        (EdgeMessage::End, BodyFeed::Open(_)) => Some(BodyFeed::Closed),
+        (EdgeMessage::End, BodyFeed::Closed) => Some(BodyFeed::Closed),
         _ => None,
     }
 }
 
-/// Hands the piece that waits on; a body that nobody reads any more is dropped. An
-/// unfinished body must not look whole, so its end is told as broken.
-async fn make_room(feed: &mut Feed) -> Feed {
-    let Feed::Full(sender, data) = feed else { return futures::future::pending().await };
+/// Passes on the waiting piece once there is room. The rest of a body that is no longer read is discarded. An
+/// incomplete body must not look complete, so its end is reported as broken.
+async fn forward_pending(feed: &mut BodyFeed) -> BodyFeed {
+    let BodyFeed::Full(sender, data) = feed else { return futures::future::pending().await };
     match sender.reserve().await {
         Ok(permit) => {
             permit.send(Ok(std::mem::take(data)));
-            Feed::Open(sender.clone())
+            BodyFeed::Open(sender.clone())
         }
-        Err(_) => Feed::Closed,
+        Err(_) => BodyFeed::Closed,
     }
 }
 
@@ -146,13 +150,13 @@
             load,
         },
         GateReply::Failed(failure) => GateMessage::Failed { failure, load },
-        GateReply::Answered(answer) => return send_answer(stream, answer, load).await,
+        GateReply::Answered(response) => return send_response(stream, response, load).await,
     };
     stream.send(gate_protocol::encode(&message)).await.is_ok()
 }
 
-async fn send_answer(stream: &mut GateStream, answer: Response, load: Load) -> bool {
-    let Response { head, body, fault } = answer;
+async fn send_response(stream: &mut GateStream, response: Response, load: Load) -> bool {
+    let Response { head, body, fault } = response;
     match body {
         Body::Whole(bytes) => {
             let message = GateMessage::Answered { head, body: Some(bytes), length: None, fault, load };
@@ -180,7 +184,7 @@
     }
 }
 
-/// The next piece of an answer; `None` when the edge gave up while the instance was slow.
+/// The next message of a streamed response; `None` if the edge gave up while the instance was slow.
 async fn next_piece(stream: &mut GateStream, pieces: &mut crate::reply::BodyStream) -> Option<GateMessage> {
     tokio::select! {
         biased;
--- a/crates/sidecar/src/gate/slot.rs
+++ b/crates/sidecar/src/gate/slot.rs
@@ -1,4 +1,4 @@
-//! A slot of an instance while a request holds it, and what is learnt from its exchange.
+//! A slot of an instance held by a request, and what the instance's state learns from the exchange.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use crate::reply::{Body, Failure, FailureReason, Response, ResponseFault};
 use olivegate_clock as clock;
 
-/// A slot in use; dropped when the exchange has ended, whichever way.
+/// A slot in use. Dropping it frees the slot, however the exchange ended.
 pub struct Slot {
     pub(super) slots: Rc<InstanceSlots>,
     pub(super) ticket: TicketId,
-    /// The request was sent to the instance, or may have been.
+    /// True when the request has been sent to the instance, or may have been.
     pub(super) is_sent: bool,
 }
 
@@ -25,65 +25,65 @@
 }
 
 impl Slot {
-    /// The slots that this one belongs to.
+    /// The instance's slots that this one belongs to.
     pub fn slots(&self) -> &Rc<InstanceSlots> {
         &self.slots
     }
 
-    /// The request is sent to the instance from now on.
+    /// Records that the request is being sent to the instance.
     pub fn note_sent(&mut self) {
         self.is_sent = true;
     }
 
-    /// Learns from an answer.
-    pub fn note_answer(&mut self, offer: &Offer, fault: ResponseFault, used: Duration) {
-        self.slots.note_failing(fault == ResponseFault::Instance);
-        self.slots.sheds.note(false, clock::now());
-        self.note_time(offer, used);
+    /// Updates the statistics and the limit from a response.
+    pub fn note_response(&mut self, offer: &Offer, fault: ResponseFault, elapsed: Duration) {
+        self.slots.note_outcome(fault == ResponseFault::Instance);
+        self.slots.shedding.note(false, clock::now());
+        self.note_time(offer, elapsed);
         let mut queue = self.slots.queue.borrow_mut();
         let in_flight = queue.in_flight();
         queue.limit_mut().on_success(in_flight);
     }
 
-    /// Learns from an exchange without an answer.
-    pub fn note_failure(&mut self, offer: &Offer, failure: Failure, used: Duration) {
+    /// Updates the statistics and the limit from an exchange without a response.
+    pub fn note_failure(&mut self, offer: &Offer, failure: Failure, elapsed: Duration) {
         let now = clock::now();
-        let is_instances_fault =
+        let is_instance_fault =
             !matches!(failure.reason, FailureReason::RequestBroken | FailureReason::RefusedByInstance);
-        if is_instances_fault {
-            self.slots.note_failing(true);
+        if is_instance_fault {
+            self.slots.note_outcome(true);
         }
         match failure.reason {
-            // The gate never gives it more than it has slots for: it refuses for a reason of its
-            // own, and would refuse as many with fewer requests in it.
-            FailureReason::RefusedByInstance => self.slots.sheds.note(true, now),
+            // Doesn't lower the limit: the gate never sends more requests than the instance has slots, so the
+            // instance has another reason and would refuse as many with fewer requests in flight.
+            FailureReason::RefusedByInstance => self.slots.shedding.note(true, now),
             FailureReason::TimedOut => {
-                self.note_time(offer, used);
+                self.note_time(offer, elapsed);
                 self.slots.queue.borrow_mut().limit_mut().on_failure(now);
             }
             _ => {}
         }
     }
 
-    fn note_time(&self, offer: &Offer, used: Duration) {
-        self.slots.expected.borrow_mut().record(&offer.route, used, clock::now());
+    fn note_time(&self, offer: &Offer, elapsed: Duration) {
+        self.slots.expected_times.borrow_mut().record(&offer.route, elapsed, clock::now());
         let target = f64::from(offer.target_latency_ms.max(1)) / 1_000.0;
-        let mut slowness = self.slots.slowness.borrow_mut();
-        *slowness = *slowness * (1.0 - SAMPLE_WEIGHT) + used.as_secs_f64() / target * SAMPLE_WEIGHT;
+        let mut latency_ratio = self.slots.latency_ratio.borrow_mut();
+        *latency_ratio = *latency_ratio * (1.0 - SAMPLE_WEIGHT) + elapsed.as_secs_f64() / target * SAMPLE_WEIGHT;
     }
 }
 
-/// The answer, with the slot kept until a body that is still to be read has ended.
-pub fn holding(answer: Response, slot: Slot) -> Response {
-    let Response { head, body, fault } = answer;
+/// Returns the response, keeping the slot until the end of a streamed body.
+pub fn hold_until_read(response: Response, slot: Slot) -> Response {
+    let Response { head, body, fault } = response;
     let body = match body {
         Body::Whole(bytes) => Body::Whole(bytes),
         Body::Stream(pieces, length) => {
-            let held = futures::StreamExt::map(pieces, move |piece| {
+            let held_pieces = futures::StreamExt::map(pieces, move |piece| {
                 let _slot = &slot;
                 piece
             });
-            Body::Stream(Box::pin(held), length)
+            Body::Stream(Box::pin(held_pieces), length)
         }
     };
     Response { head, body, fault }
--- a/crates/sidecar/tests/decisions/identity.rs
+++ b/crates/sidecar/tests/decisions/identity.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use olivegate_sidecar::gate::identity::{Found, InstanceIdentity, patience_within};
+use olivegate_sidecar::gate::identity::{CheckResult, InstanceIdentity, max_check_wait_for};
 use olivegate_types::InstanceName;
 use rstest::rstest;
 
@@ -13,36 +13,36 @@
 #[rstest]
 fn an_answer_confirms_its_instance_unless_it_was_sent_before_a_doubt() {
     let identity = InstanceIdentity::default();
-    let before = identity.doubts();
-    identity.doubt();
+    let before = identity.epoch();
+    identity.invalidate();
     identity.confirm(&books(), before);
     assert!(!identity.is_confirmed(&books()), "sent before the doubt");
-    identity.confirm(&books(), identity.doubts());
+    identity.confirm(&books(), identity.epoch());
     assert!(identity.is_confirmed(&books()));
-    identity.doubt();
+    identity.invalidate();
     assert!(!identity.is_confirmed(&books()));
 }
 
 #[rstest]
 fn a_question_is_asked_once_and_anew_after_a_doubt() {
     let identity = InstanceIdentity::default();
-    let (_, first) = identity.question(&books());
-    let (_, second) = identity.question(&books());
+    let (_, first) = identity.start_check(&books());
+    let (_, second) = identity.start_check(&books());
     assert!(first.is_some() && second.is_none());
-    identity.doubt();
-    let (_, third) = identity.question(&books());
+    identity.invalidate();
+    let (_, third) = identity.start_check(&books());
     assert!(third.is_some());
-    identity.learn(first.unwrap(), Found::Expected);
+    identity.complete(first.unwrap(), CheckResult::Expected);
     assert!(!identity.is_confirmed(&books()), "asked before the doubt");
-    identity.learn(third.unwrap(), Found::Expected);
+    identity.complete(third.unwrap(), CheckResult::Expected);
     assert!(identity.is_confirmed(&books()));
 }
 
 #[rstest]
 fn who_has_little_time_waits_little() {
     let seconds = Duration::from_secs;
-    assert_eq!(patience_within(seconds(1), seconds(5)), Duration::from_millis(100));
-    assert_eq!(patience_within(seconds(60), seconds(60)), Duration::from_millis(100), "at most");
-    assert_eq!(patience_within(Duration::from_millis(300), seconds(5)), Duration::from_millis(30));
-    assert_eq!(patience_within(seconds(1), Duration::from_millis(40)), Duration::from_millis(4));
+    assert_eq!(max_check_wait_for(seconds(1), seconds(5)), Duration::from_millis(100));
+    assert_eq!(max_check_wait_for(seconds(60), seconds(60)), Duration::from_millis(100), "at most");
+    assert_eq!(max_check_wait_for(Duration::from_millis(300), seconds(5)), Duration::from_millis(30));
+    assert_eq!(max_check_wait_for(seconds(1), Duration::from_millis(40)), Duration::from_millis(4));
 }
--- a/crates/sidecar/tests/decisions/shedding.rs
+++ b/crates/sidecar/tests/decisions/shedding.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use olivegate_http1::{Fields, RequestHead};
-use olivegate_sidecar::gate::shedding::Sheds;
+use olivegate_sidecar::gate::shedding::ShedTracker;
 use olivegate_sidecar::gate_protocol::{Offer, OfferedBody, RootRequest};
 use olivegate_sidecar::importance::importance_of;
 use olivegate_sidecar::model::RetrySafety;
@@ -13,7 +13,7 @@
 use rstest::rstest;
 
 /// Repeats a second that the gate may let through.
-const REPEATS: f64 = 40.0;
+const RETRY_RATE: f64 = 40.0;
 
 fn root(route: &str, priority: u32, admitted: f64) -> RootRequest {
     RootRequest {
@@ -57,31 +57,31 @@
     reservations: f64,
     browsing: f64,
     /// Repeats that their calls needed.
-    repeats: f64,
+    retries: f64,
 }
 
 /// A gate at which 100 calls a second of each kind arrive as long as everything may begin, of
 /// which the instance sheds the part `shed`.
-fn second(sheds: &Sheds, shed: f64, from_ms: u64, random: &mut SmallRng) -> Second {
+fn second(shedding: &ShedTracker, shed: f64, from_ms: u64, random: &mut SmallRng) -> Second {
     let mut seen = Second::default();
     for step in 0..100 {
         let now = Moment::from_millis(from_ms + step * 10);
         for (route, priority) in [("reserve", 0), ("browse", 2)] {
             let class = root(route, priority, 1.0).class();
-            let level = sheds.level(&class, REPEATS, now).min(1.0);
+            let level = shedding.level(&class, RETRY_RATE, now).min(1.0);
             if random.random::<f64>() >= level {
                 continue;
             }
             let offer = call(root(route, priority, level), 2);
-            sheds.note_demand(&offer, now);
+            shedding.record_demand(&offer, now);
             *(if priority == 0 { &mut seen.reservations } else { &mut seen.browsing }) += 1.0;
             for _ in 0..6 {
                 let is_shed = random.random::<f64>() < shed;
-                sheds.note(is_shed, now);
+                shedding.note(is_shed, now);
                 if !is_shed {
                     break;
                 }
-                seen.repeats += 1.0;
+                seen.retries += 1.0;
             }
         }
     }
@@ -90,20 +90,20 @@
 
 #[rstest]
 fn chains_begin_as_the_repeats_carry_the_most_important_first() {
-    let (sheds, mut random) = (Sheds::default(), SmallRng::seed_from_u64(5));
-    let calm = second(&sheds, 0.0, 1_000, &mut random);
+    let (tracker, mut random) = (ShedTracker::default(), SmallRng::seed_from_u64(5));
+    let calm = second(&tracker, 0.0, 1_000, &mut random);
     assert_eq!((calm.reservations, calm.browsing), (100.0, 100.0), "nothing is held back");
-    second(&sheds, 0.55, 2_000, &mut random);
+    second(&tracker, 0.55, 2_000, &mut random);
     let mut shedding = Second::default();
     for index in 0..5 {
-        let seen = second(&sheds, 0.55, 3_000 + index * 1_000, &mut random);
+        let seen = second(&tracker, 0.55, 3_000 + index * 1_000, &mut random);
         shedding.reservations += seen.reservations / 5.0;
         shedding.browsing += seen.browsing / 5.0;
-        shedding.repeats += seen.repeats / 5.0;
+        shedding.retries += seen.retries / 5.0;
     }
-    assert!(shedding.repeats <= REPEATS * 1.2, "{shedding:?}");
+    assert!(shedding.retries <= RETRY_RATE * 1.2, "{shedding:?}");
     assert!(shedding.reservations >= 20.0 && shedding.browsing <= 10.0, "{shedding:?}");
-    let after = (0..3).map(|index| second(&sheds, 0.0, 8_000 + index * 1_000, &mut random)).last().unwrap();
+    let after = (0..3).map(|index| second(&tracker, 0.0, 8_000 + index * 1_000, &mut random)).last().unwrap();
     assert_eq!(
         (after.reservations, after.browsing),
         (100.0, 100.0),
@@ -114,45 +114,45 @@
 /// A request of a client has its chance without a repeat.
 #[rstest]
 fn requests_without_a_chain_are_not_held_back() {
-    let sheds = Sheds::default();
+    let shedding = ShedTracker::default();
     let lookup = call(root("lookup", 2, 1.0), 0);
     for step in 0..200 {
-        sheds.note(true, Moment::from_millis(step * 5));
-        sheds.note_demand(&lookup, Moment::from_millis(step * 5));
+        shedding.note(true, Moment::from_millis(step * 5));
+        shedding.record_demand(&lookup, Moment::from_millis(step * 5));
     }
-    let level = sheds.level(&lookup.root.class(), REPEATS, Moment::from_millis(1_000));
+    let level = shedding.level(&lookup.root.class(), RETRY_RATE, Moment::from_millis(1_000));
     assert!(level >= 1.0, "{level}");
 }
 
 /// Single refusals are no shedding.
 #[rstest]
 fn a_few_refusals_hold_nothing_back() {
-    let sheds = Sheds::default();
+    let shedding = ShedTracker::default();
     let offer = call(root("reserve", 0, 1.0), 2);
     for step in 0..400_u64 {
         let now = Moment::START + Duration::from_millis(step * 5);
-        sheds.note(step.is_multiple_of(40), now);
-        sheds.note_demand(&offer, now);
+        shedding.note(step.is_multiple_of(40), now);
+        shedding.record_demand(&offer, now);
     }
-    assert!(sheds.level(&offer.root.class(), 0.0, Moment::from_millis(2_000)) >= 1.0);
+    assert!(shedding.level(&offer.root.class(), 0.0, Moment::from_millis(2_000)) >= 1.0);
 }
 
 /// What is held back does not arrive, so too few arrivals may be left to show that the shedding is
 /// over: it is forgotten with time.
 #[rstest]
 fn shedding_is_forgotten_where_hardly_anything_arrives() {
-    let sheds = Sheds::default();
+    let shedding = ShedTracker::default();
     let offer = call(root("reserve", 0, 1.0), 2);
     for step in 0..100_u64 {
         let now = Moment::from_millis(step * 10);
-        sheds.note(step % 2 == 0, now);
-        sheds.note_demand(&offer, now);
+        shedding.note(step % 2 == 0, now);
+        shedding.record_demand(&offer, now);
     }
-    assert!(sheds.level(&offer.root.class(), 1.0, Moment::from_millis(1_000)) < 1.0, "it sheds");
+    assert!(shedding.level(&offer.root.class(), 1.0, Moment::from_millis(1_000)) < 1.0, "it sheds");
     for step in 0..10_u64 {
         let now = Moment::from_millis(1_200 + step * 300);
-        sheds.note(false, now);
-        sheds.note_demand(&offer, now);
+        shedding.note(false, now);
+        shedding.record_demand(&offer, now);
     }
-    assert!(sheds.level(&offer.root.class(), 1.0, Moment::from_millis(4_200)) >= 1.0, "three seconds later");
+    assert!(shedding.level(&offer.root.class(), 1.0, Moment::from_millis(4_200)) >= 1.0, "three seconds later");
 }
