--- a/crates/sidecar/src/declared/mod.rs
+++ b/crates/sidecar/src/declared/mod.rs
@@ -1,10 +1,10 @@
-//! The rates that instances declare in their answers, as nodes know them.
+//! Request rates that instances declare in their responses.
 //!
-//! The gate of an instance reads its answers and paces what it sends; it tells what it knows with each of
-//! its replies. Edges remember that, and remind a gate with their offers: one that has started again has
-//! forgotten it, and the instance has not taken its word back. Nothing here reads a clock or performs I/O.
+//! The gate of an instance reads the rate from responses, limits what it sends accordingly, and includes the
+//! rate in each of its replies. Edges store it and send it back with their offers, because a restarted gate
+//! has lost it although the instance's limit is still in force. Nothing here reads a clock or performs I/O.
 //!
-//! - [`record`]: what is known of one start of an instance.
+//! - [`record`]: the declared rate of one incarnation of an instance.
 
 pub mod record;
 
@@ -13,40 +13,40 @@
 use olivegate_overload::DeclaredRate;
 use olivegate_types::InstanceName;
 
-pub use record::{RateChange, RateRecord, RateWitness};
+pub use record::{RateChange, RateRecord, RateTracker};
 
-/// What an edge was told by the gates of instances.
+/// Declared rates that an edge has received from the gates of instances.
 #[derive(Debug, Default)]
 pub struct DeclaredRates {
     records: HashMap<InstanceName, RateRecord>,
 }
 
 impl DeclaredRates {
-    /// The gate of `instance` told what it knows.
-    pub fn note(&mut self, instance: &InstanceName, told: RateRecord) {
+    /// Stores the record from a reply of the gate of `instance`, unless a later one is known.
+    pub fn note(&mut self, instance: &InstanceName, reported: RateRecord) {
         match self.records.get_mut(instance) {
-            Some(known) if told.is_later_than(known) => *known = told,
+            Some(known) if reported.is_later_than(known) => *known = reported,
             Some(_) => {}
-            None if told.was_ever_limited() => {
-                self.records.insert(instance.clone(), told);
+            None if reported.was_ever_limited() => {
+                self.records.insert(instance.clone(), reported);
             }
             None => {}
         }
     }
 
-    /// The rate that `instance` declares; `None` where it takes what comes.
+    /// The rate that `instance` declares; `None` if it declares no limit.
     pub fn rate_of(&self, instance: &InstanceName) -> Option<DeclaredRate> {
         self.records.get(instance).and_then(|record| record.rate)
     }
 
-    /// What its gate is to be told with an offer, should it have forgotten; `None` where the instance has
-    /// never declared a rate. Also that it declares none any more: a gate that has forgotten would count its
-    /// changes anew, and its word would pass for older than that.
+    /// The record to send to the instance's gate with an offer, in case the gate has lost it; `None` if the
+    /// instance has never declared a rate. A record saying that the limit has ended is sent, too: a gate that
+    /// has lost its state counts changes from the start, so its later records would be taken for older ones.
     pub fn record_for(&self, instance: &InstanceName) -> Option<RateRecord> {
         self.records.get(instance).copied()
     }
 
-    /// Forgets instances of which `keeps` is false.
+    /// Drops the records of instances for which `keeps` returns false.
     pub fn retain(&mut self, keeps: impl Fn(&InstanceName) -> bool) {
         self.records.retain(|instance, _| keeps(instance));
     }
--- a/crates/sidecar/src/declared/record.rs
+++ b/crates/sidecar/src/declared/record.rs
@@ -1,23 +1,24 @@
-//! What is known of the rate that one start of an instance declares.
+//! The declared rate of one incarnation of an instance.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_overload::DeclaredRate;
 
 use crate::model::Incarnation;
 
-/// The declared rate of one start of an instance, as nodes tell each other.
+/// The declared rate of one incarnation of an instance, as nodes exchange it.
 #[derive(Debug, Clone, Copy, PartialEq, Default, BorshSerialize, BorshDeserialize)]
 pub struct RateRecord {
-    /// Start of the instance.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// The rate; `None` where none is declared.
+    /// The rate; `None` if no limit is declared.
     pub rate: Option<DeclaredRate>,
-    /// Number of the change that led to it; later ones are larger, 0 where none was ever declared.
+    /// Sequence number of the change that led to this rate, increasing with each change; 0 if no rate was
+    /// ever declared.
     pub sequence: u64,
 }
 
 impl RateRecord {
-    /// True when this was known later than `other`.
+    /// True when this record is more recent than `other`.
     pub fn is_later_than(&self, other: &RateRecord) -> bool {
         if self.incarnation.differs_from(other.incarnation) {
             return other.incarnation.is_before(self.incarnation);
@@ -25,7 +26,7 @@
         self.sequence > other.sequence
     }
 
-    /// True when the instance has declared a rate in this start.
+    /// True when the instance has declared a rate in this incarnation.
     pub fn was_ever_limited(&self) -> bool {
         self.sequence > 0
     }
@@ -34,65 +35,69 @@
 /// A change of the declared rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateChange {
-    /// The rate before; `None` where none was declared.
+    /// The rate before the change; `None` if no limit was declared.
     pub before: Option<DeclaredRate>,
-    /// The rate now.
+    /// The rate after the change.
     pub now: Option<DeclaredRate>,
 }
 
-/// What the node beside an instance knows, which reads its answers.
+/// Tracks the declared rate at the gate of the instance, which reads its responses.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct RateWitness {
+pub struct RateTracker {
     record: RateRecord,
-    /// It has read an answer itself; before that it goes by what others were told.
-    has_heard: bool,
+    /// True once the gate has read a response itself. Until then it uses the records that edges report back.
+    has_read_response: bool,
 }
 
-impl RateWitness {
-    /// What it knows, to be told to others.
+impl RateTracker {
+    /// The record to send to edges.
     pub fn record(&self) -> RateRecord {
         self.record
     }
 
-    /// The start that the instance is known to have.
+    /// Sets the known incarnation of the instance.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.record.incarnation = incarnation;
     }
 
-    /// An edge was told `told` by the gate, perhaps by the process before this one. The change that this
-    /// makes, if it does.
-    pub fn on_told(&mut self, told: RateRecord) -> Option<RateChange> {
-        if told.incarnation.differs_from(self.record.incarnation) {
+    /// Applies a record that an edge has received from this gate, possibly from an earlier process of it.
+    /// Returns the resulting change, if any.
+    pub fn on_edge_report(&mut self, reported: RateRecord) -> Option<RateChange> {
+        if reported.incarnation.differs_from(self.record.incarnation) {
             return None;
         }
-        if self.has_heard {
-            self.go_before(told);
+        if self.has_read_response {
+            self.supersede(reported);
             return None;
         }
         let before = self.record.rate;
-        if told.is_later_than(&self.record) || self.is_stricter(told) {
-            self.record = RateRecord { incarnation: self.record.incarnation, ..told };
+        if reported.is_later_than(&self.record) || self.is_stricter(reported) {
+            self.record = RateRecord { incarnation: self.record.incarnation, ..reported };
         }
         let now = self.record.rate;
         (before != now).then_some(RateChange { before, now })
     }
 
-    /// What was read here is news to an edge that was told something else: it has to count as later.
-    fn go_before(&mut self, told: RateRecord) {
-        if told.rate != self.record.rate && told.sequence >= self.record.sequence {
-            self.record.sequence = told.sequence + 1;
+    /// Advances the sequence number beyond that of a different rate that an edge reports, so that the edge
+    /// takes the rate read here for the more recent one.
+    fn supersede(&mut self, reported: RateRecord) {
+        if reported.rate != self.record.rate && reported.sequence >= self.record.sequence {
+            self.record.sequence = reported.sequence + 1;
         }
     }
 
-    /// Two processes that did not know of each other may have given out the same number.
-    fn is_stricter(&self, told: RateRecord) -> bool {
+    /// True when `reported` has the same sequence number but a lower rate: two processes of the gate that
+    /// didn't know of each other may have assigned the same number.
+    fn is_stricter(&self, reported: RateRecord) -> bool {
         let known = self.record;
-        told.sequence == known.sequence && known.rate.zip(told.rate).is_some_and(|(known, told)| told < known)
+        reported.sequence == known.sequence
+            && known.rate.zip(reported.rate).is_some_and(|(known, rate)| rate < known)
     }
 
-    /// An answer declared `rate`, or none. The change that this makes, if it does.
-    pub fn on_answer(&mut self, rate: Option<DeclaredRate>) -> Option<RateChange> {
-        self.has_heard = true;
+    /// Applies the rate that a response declares, or `None` for no limit. Returns the resulting change, if
+    /// any.
+    pub fn on_response(&mut self, rate: Option<DeclaredRate>) -> Option<RateChange> {
+        self.has_read_response = true;
         let before = self.record.rate;
         if before == rate {
             return None;
--- a/crates/sidecar/src/gate/slots.rs
+++ b/crates/sidecar/src/gate/slots.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 
-use crate::declared::{RateChange, RateRecord, RateWitness};
+use crate::declared::{RateChange, RateRecord, RateTracker};
 use crate::gate::instance_connection::InstanceConnections;
 use crate::gate::instance_end::InstanceEnd;
 use crate::gate::notice::RateNotice;
@@ -52,7 +52,7 @@
     closes_in_a_row: Cell<u32>,
     demand_levels: RefCell<DemandLevels>,
     pub(super) shedding: ShedTracker,
-    declared: Cell<RateWitness>,
+    declared_rate: Cell<RateTracker>,
     wakeup_scheduled: Cell<bool>,
     is_rate_unreadable: Cell<bool>,
     connections: InstanceConnections,
@@ -100,7 +100,7 @@
             closes_in_a_row: Cell::new(0),
             demand_levels: RefCell::new(DemandLevels::new(MIN_SHARE)),
             shedding: ShedTracker::default(),
-            declared: Cell::default(),
+            declared_rate: Cell::default(),
             wakeup_scheduled: Cell::new(false),
             is_rate_unreadable: Cell::new(false),
             connections: InstanceConnections::default(),
@@ -116,9 +116,9 @@
             return false;
         }
         self.incarnation.set(instance.incarnation);
-        let mut declared = self.declared.get();
+        let mut declared = self.declared_rate.get();
         declared.set_incarnation(instance.incarnation);
-        self.declared.set(declared);
+        self.declared_rate.set(declared);
         self.queue.borrow_mut().configure(QUEUE, used_slots(instance.slots));
         true
     }
@@ -159,19 +159,19 @@
             RateNotice::Unlimited => None,
             RateNotice::Limited(rate) => Some(rate),
             RateNotice::Unreadable(error) => {
-                let was_told = self.is_rate_unreadable.replace(true);
-                return if was_told { RateUpdate::None } else { RateUpdate::Unreadable(error) };
+                let was_reported = self.is_rate_unreadable.replace(true);
+                return if was_reported { RateUpdate::None } else { RateUpdate::Unreadable(error) };
             }
         };
-        let mut declared = self.declared.get();
-        let change = declared.on_answer(rate);
-        self.declared.set(declared);
+        let mut declared = self.declared_rate.get();
+        let change = declared.on_response(rate);
+        self.declared_rate.set(declared);
         self.apply_rate_change(change)
     }
 
     /// True when the instance declares a rate.
     pub fn is_limited(&self) -> bool {
-        self.declared.get().record().rate.is_some()
+        self.declared_rate.get().record().rate.is_some()
     }
 
     /// Counts an identity check against the declared rate.
@@ -180,10 +180,10 @@
     }
 
     /// Applies the declared rate that an edge reports back.
-    pub fn note_edge_report(self: &Rc<Self>, told: RateRecord) -> RateUpdate {
-        let mut declared = self.declared.get();
-        let change = declared.on_told(told);
-        self.declared.set(declared);
+    pub fn note_edge_report(self: &Rc<Self>, reported: RateRecord) -> RateUpdate {
+        let mut declared = self.declared_rate.get();
+        let change = declared.on_edge_report(reported);
+        self.declared_rate.set(declared);
         self.apply_rate_change(change)
     }
 
@@ -246,7 +246,7 @@
     /// What the instance has declared about itself; `None` if it has declared nothing. `is_leaving` tells
     /// whether the node knows the instance to be leaving.
     pub fn self_report(&self, is_leaving: bool) -> Option<SelfReport> {
-        let declared = self.declared.get().record();
+        let declared = self.declared_rate.get().record();
         let has_report = is_leaving || declared.was_ever_limited();
         has_report.then(|| {
             let retry_after = Millis::from_duration(self.retry_after(clock::now()));
--- a/crates/sidecar/tests/decisions/declared.rs
+++ b/crates/sidecar/tests/decisions/declared.rs
@@ -1,7 +1,7 @@
 //! What nodes know of the rate that an instance declares.
 
 use olivegate_overload::DeclaredRate;
-use olivegate_sidecar::declared::{DeclaredRates, RateRecord, RateWitness};
+use olivegate_sidecar::declared::{DeclaredRates, RateRecord, RateTracker};
 use olivegate_sidecar::model::Incarnation;
 use olivegate_types::InstanceName;
 use proptest::prelude::*;
@@ -16,19 +16,19 @@
 
 #[test]
 fn a_gate_that_has_heard_nothing_goes_by_what_edges_were_told() {
-    let mut witness = RateWitness::default();
-    assert!(witness.on_told(record(0, rate(13.0), 7)).is_some());
+    let mut witness = RateTracker::default();
+    assert!(witness.on_edge_report(record(0, rate(13.0), 7)).is_some());
     assert_eq!(witness.record().rate, rate(13.0));
-    assert!(witness.on_told(record(0, rate(20.0), 6)).is_none(), "that was known before");
-    assert!(witness.on_answer(None).is_some());
+    assert!(witness.on_edge_report(record(0, rate(20.0), 6)).is_none(), "that was known before");
+    assert!(witness.on_response(None).is_some());
     assert_eq!(witness.record(), record(0, None, 8));
 }
 
 #[test]
 fn what_a_gate_has_read_goes_before_what_edges_were_told() {
-    let mut witness = RateWitness::default();
-    witness.on_answer(None);
-    assert!(witness.on_told(record(0, rate(13.0), 7)).is_none());
+    let mut witness = RateTracker::default();
+    witness.on_response(None);
+    assert!(witness.on_edge_report(record(0, rate(13.0), 7)).is_none());
     assert_eq!(witness.record().rate, None);
     let mut edge = DeclaredRates::default();
     let name = InstanceName::new("one");
@@ -39,9 +39,9 @@
 
 #[test]
 fn the_word_of_one_start_holds_for_no_other() {
-    let mut witness = RateWitness::default();
+    let mut witness = RateTracker::default();
     witness.set_incarnation(Incarnation(2_000));
-    assert!(witness.on_told(record(1_000, rate(0.0), 9)).is_none());
+    assert!(witness.on_edge_report(record(1_000, rate(0.0), 9)).is_none());
     let mut edge = DeclaredRates::default();
     let name = InstanceName::new("one");
     edge.note(&name, record(2_000, rate(5.0), 1));
@@ -102,7 +102,7 @@
     fn a_gate_and_its_edges_agree(steps in steps()) {
         let name = InstanceName::new("one");
         let mut named: Option<DeclaredRate> = None;
-        let mut gate = RateWitness::default();
+        let mut gate = RateTracker::default();
         let mut has_read = false;
         let mut edges: [DeclaredRates; EDGES] = Default::default();
         let mut replies = vec![gate.record()];
@@ -110,23 +110,23 @@
             match step {
                 Step::Names(tenths) => named = if tenths == 0 { None } else { rate(f64::from(tenths) / 10.0) },
                 Step::Answers => {
-                    gate.on_answer(named);
+                    gate.on_response(named);
                     has_read = true;
                     prop_assert_eq!(gate.record().rate, named);
                 }
                 Step::Restarts => {
-                    gate = RateWitness::default();
+                    gate = RateTracker::default();
                     has_read = false;
                 }
                 Step::Offers(edge) => {
                     let reminder = edges[edge].record_for(&name);
                     let known = gate.record();
-                    if let Some(told) = reminder {
-                        gate.on_told(told);
+                    if let Some(reported) = reminder {
+                        gate.on_edge_report(reported);
                     }
                     if has_read {
                         prop_assert_eq!(gate.record().rate, known.rate, "what it has read itself stands");
-                    } else if reminder.is_some_and(|told| told.is_later_than(&known)) {
+                    } else if reminder.is_some_and(|reported| reported.is_later_than(&known)) {
                         prop_assert_eq!(gate.record(), reminder.unwrap_or_default(), "a reminder was not heeded");
                     }
                     replies.push(gate.record());
