--- a/crates/sidecar/tests/decisions/identity.rs
+++ b/crates/sidecar/tests/decisions/identity.rs
@@ -1,4 +1,4 @@
-//! Which instance is known to be there, and how long requests wait to learn it.
+//! Which instance is known to be listening, and how long requests wait for an identity check.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 }
 
 #[rstest]
-fn an_answer_confirms_its_instance_unless_it_was_sent_before_a_doubt() {
+fn a_response_confirms_its_instance_unless_its_request_is_older_than_an_invalidation() {
     let identity = InstanceIdentity::default();
     let before = identity.epoch();
     identity.invalidate();
     identity.confirm(&books(), before);
-    assert!(!identity.is_confirmed(&books()), "sent before the doubt");
+    assert!(!identity.is_confirmed(&books()), "sent before the invalidation");
     identity.confirm(&books(), identity.epoch());
     assert!(identity.is_confirmed(&books()));
     identity.invalidate();
@@ -24,7 +24,7 @@
 }
 
 #[rstest]
-fn a_question_is_asked_once_and_anew_after_a_doubt() {
+fn a_check_is_shared_until_the_identity_is_invalidated() {
     let identity = InstanceIdentity::default();
     let (_, first) = identity.start_check(&books());
     let (_, second) = identity.start_check(&books());
@@ -33,13 +33,13 @@
     let (_, third) = identity.start_check(&books());
     assert!(third.is_some());
     identity.complete(first.unwrap(), CheckResult::Expected);
-    assert!(!identity.is_confirmed(&books()), "asked before the doubt");
+    assert!(!identity.is_confirmed(&books()), "started before the invalidation");
     identity.complete(third.unwrap(), CheckResult::Expected);
     assert!(identity.is_confirmed(&books()));
 }
 
 #[rstest]
-fn who_has_little_time_waits_little() {
+fn requests_with_little_time_wait_little() {
     let seconds = Duration::from_secs;
     assert_eq!(max_check_wait_for(seconds(1), seconds(5)), Duration::from_millis(100));
     assert_eq!(max_check_wait_for(seconds(60), seconds(60)), Duration::from_millis(100), "at most");
--- a/crates/sidecar/tests/decisions/idle_reuse.rs
+++ b/crates/sidecar/tests/decisions/idle_reuse.rs
@@ -1,4 +1,4 @@
-//! How long a connection may have rested.
+//! How long a connection may have been idle to be reused.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const IDLE_TIME: Duration = Duration::from_millis(400);
 
 #[rstest]
-fn a_lesson_bounds_the_rest_and_is_forgotten() {
+fn a_broken_connection_limits_the_idle_time_until_the_limit_expires() {
     let mut reuse = IdleReuseLimit::default();
     assert_eq!(reuse.max_idle_time(Safe, Moment::from_millis(0)), Duration::MAX);
     reuse.on_broken(IDLE_TIME, Moment::from_millis(1_000));
@@ -21,37 +21,38 @@
 }
 
 #[rstest]
-fn a_lesson_of_a_short_rest_trusts_a_part_of_it() {
+fn a_break_after_a_short_idle_time_lowers_the_limit_to_a_fraction_of_it() {
     let mut reuse = IdleReuseLimit::default();
     reuse.on_broken(Duration::from_millis(100), Moment::from_millis(1_000));
     assert_eq!(reuse.max_idle_time(Safe, Moment::from_millis(2_000)), Duration::from_millis(60));
 }
 
 #[rstest]
-fn a_longer_rest_teaches_nothing_that_a_shorter_one_did_not() {
+fn a_break_after_a_longer_idle_time_does_not_raise_the_limit() {
     let mut reuse = IdleReuseLimit::default();
     reuse.on_broken(IDLE_TIME, Moment::from_millis(1_000));
     reuse.on_broken(IDLE_TIME * 5, Moment::from_millis(1_500));
     assert_eq!(reuse.max_idle_time(Safe, Moment::from_millis(2_000)), Duration::from_millis(100));
 }
 
-/// Guards against a long first rest that teaches to trust rests which are forgotten, too.
+/// Guards against a limit that is too high after the first break. After a long idle time it could still allow
+/// the reuse of connections that the instance has dropped.
 #[rstest]
 #[case::short(300)]
 #[case::long(600)]
 #[case::longer(900)]
 #[case::much_longer(6_000)]
-fn however_long_the_rest_that_was_lost_one_lesson_is_enough(#[case] rested_ms: u64) {
+fn one_break_is_enough_however_long_the_connection_was_idle(#[case] idle_ms: u64) {
     let mut reuse = IdleReuseLimit::default();
-    reuse.on_broken(Duration::from_millis(rested_ms), Moment::from_millis(1_000));
+    reuse.on_broken(Duration::from_millis(idle_ms), Moment::from_millis(1_000));
     assert!(
         reuse.max_idle_time(Safe, Moment::from_millis(2_000)) <= Duration::from_millis(150),
-        "forgotten after that"
+        "connections are dropped after that"
     );
 }
 
 #[rstest]
-fn what_may_run_once_gets_connections_that_hardly_rested() {
+fn requests_that_may_run_once_get_connections_that_were_hardly_idle() {
     let mut reuse = IdleReuseLimit::default();
     assert_eq!(reuse.max_idle_time(Unsafe, Moment::from_millis(0)), Duration::from_millis(100));
     reuse.on_broken(Duration::from_millis(100), Moment::from_millis(0));
--- a/crates/sidecar/tests/decisions/shedding.rs
+++ b/crates/sidecar/tests/decisions/shedding.rs
@@ -1,4 +1,4 @@
-//! Which chains begin while an instance sheds by chance.
+//! Admission levels for call chains while an instance sheds a random fraction of the requests.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
 
-/// Repeats a second that the gate may let through.
+/// Retries per second that the gate may let through.
 const RETRY_RATE: f64 = 40.0;
 
 fn root(route: &str, priority: u32, admitted: f64) -> RootRequest {
@@ -50,20 +50,20 @@
     }
 }
 
-/// What a second of emulated time showed.
+/// Counts of one second of emulated time.
 #[derive(Debug, Default)]
-struct Second {
-    /// Calls of reservations, and of browsing, that began.
+struct EmulatedSecond {
+    /// Reservation calls and browsing calls that began.
     reservations: f64,
     browsing: f64,
-    /// Repeats that their calls needed.
+    /// Retries that these calls needed.
     retries: f64,
 }
 
-/// A gate at which 100 calls a second of each kind arrive as long as everything may begin, of
-/// which the instance sheds the part `shed`.
-fn second(shedding: &ShedTracker, shed: f64, from_ms: u64, random: &mut SmallRng) -> Second {
-    let mut seen = Second::default();
+/// Emulates a gate at which 100 calls per second of each kind arrive as long as all of them may begin. The
+/// instance sheds the fraction `shed` of them.
+fn emulate_second(shedding: &ShedTracker, shed: f64, from_ms: u64, random: &mut SmallRng) -> EmulatedSecond {
+    let mut seen = EmulatedSecond::default();
     for step in 0..100 {
         let now = Moment::from_millis(from_ms + step * 10);
         for (route, priority) in [("reserve", 0), ("browse", 2)] {
@@ -89,21 +89,22 @@
 }
 
 #[rstest]
-fn chains_begin_as_the_repeats_carry_the_most_important_first() {
+fn the_most_important_chains_begin_as_far_as_the_retry_rate_allows() {
     let (tracker, mut random) = (ShedTracker::default(), SmallRng::seed_from_u64(5));
-    let calm = second(&tracker, 0.0, 1_000, &mut random);
+    let calm = emulate_second(&tracker, 0.0, 1_000, &mut random);
     assert_eq!((calm.reservations, calm.browsing), (100.0, 100.0), "nothing is held back");
-    second(&tracker, 0.55, 2_000, &mut random);
-    let mut shedding = Second::default();
+    emulate_second(&tracker, 0.55, 2_000, &mut random);
+    let mut shedding = EmulatedSecond::default();
     for index in 0..5 {
-        let seen = second(&tracker, 0.55, 3_000 + index * 1_000, &mut random);
+        let seen = emulate_second(&tracker, 0.55, 3_000 + index * 1_000, &mut random);
         shedding.reservations += seen.reservations / 5.0;
         shedding.browsing += seen.browsing / 5.0;
         shedding.retries += seen.retries / 5.0;
     }
     assert!(shedding.retries <= RETRY_RATE * 1.2, "{shedding:?}");
     assert!(shedding.reservations >= 20.0 && shedding.browsing <= 10.0, "{shedding:?}");
-    let after = (0..3).map(|index| second(&tracker, 0.0, 8_000 + index * 1_000, &mut random)).last().unwrap();
+    let after =
+        (0..3).map(|index| emulate_second(&tracker, 0.0, 8_000 + index * 1_000, &mut random)).last().unwrap();
     assert_eq!(
         (after.reservations, after.browsing),
         (100.0, 100.0),
@@ -111,7 +112,7 @@
     );
 }
 
-/// A request of a client has its chance without a repeat.
+/// A client request needs no retry to be served.
 #[rstest]
 fn requests_without_a_chain_are_not_held_back() {
     let shedding = ShedTracker::default();
@@ -124,7 +125,7 @@
     assert!(level >= 1.0, "{level}");
 }
 
-/// Single refusals are no shedding.
+/// Single refusals don't count as shedding.
 #[rstest]
 fn a_few_refusals_hold_nothing_back() {
     let shedding = ShedTracker::default();
@@ -137,8 +138,8 @@
     assert!(shedding.level(&offer.root.class(), 0.0, Moment::from_millis(2_000)) >= 1.0);
 }
 
-/// What is held back does not arrive, so too few arrivals may be left to show that the shedding is
-/// over: it is forgotten with time.
+/// Requests that are held back don't arrive, so too few arrivals may be left to show that the shedding is
+/// over. The counts therefore decay.
 #[rstest]
 fn shedding_is_forgotten_where_hardly_anything_arrives() {
     let shedding = ShedTracker::default();
