--- a/crates/sidecar/src/access/mod.rs
+++ b/crates/sidecar/src/access/mod.rs
@@ -39,7 +39,7 @@
 
 /// A place in a tenant's quota that a request has taken.
 #[derive(Debug, Clone, Copy)]
-pub struct QuotaPlace(TenantId);
+pub struct QuotaReservation(TenantId);
 
 impl Access {
     /// No tenant is known yet. `secret` and `generation` are drawn at random.
@@ -103,21 +103,21 @@
     }
 
     /// Takes a place in the quota of `tenant`; `None` where it has no limit.
-    pub fn take_place(
+    pub fn reserve_quota(
         &self,
         tenant: &Tenant,
         draw: f64,
         now: Moment,
-    ) -> Result<Option<QuotaPlace>, QuotaExceeded> {
+    ) -> Result<Option<QuotaReservation>, QuotaExceeded> {
         let id = TenantId::of(&tenant.name);
         let Some(limit) = self.limits.borrow().get(&id).copied() else { return Ok(None) };
         self.quota.borrow_mut().admit(id, limit, self.nodes.get(), draw, now)?;
-        Ok(Some(QuotaPlace(id)))
+        Ok(Some(QuotaReservation(id)))
     }
 
     /// The request that took `place` was not run.
-    pub fn give_back(&self, place: QuotaPlace, now: Moment) {
-        self.quota.borrow_mut().refund(place.0, now);
+    pub fn release_quota(&self, reservation: QuotaReservation, now: Moment) {
+        self.quota.borrow_mut().refund(reservation.0, now);
     }
 
     /// The node's share of the quotas, for what is told and heard of them.
--- a/crates/sidecar/src/edge/attempts.rs
+++ b/crates/sidecar/src/edge/attempts.rs
@@ -1,129 +1,135 @@
-//! What follows when an attempt did not give an answer.
+//! Decides whether to retry after an attempt that gave no response.
 //!
-//! A gate's refusal means that the request never reached an instance: offering it
-//! elsewhere is free. Sending it to an instance again, the same or another one, is a repeat, which
-//! that instance's gate may refuse, and is only done when it did not run or may run twice.
+//! A refusal by a gate means that the request never reached an instance, so offering it to another gate is
+//! free. Sending it to an instance again, the same or another one, is a retry: that instance's gate may
+//! refuse it, and it is only done when the request did not run or may run twice.
 //!
-//! A request goes to no more instances than its route allows. One that each of them refused unrun
-//! may go to one of them again: an instance that sheds a part of what arrives takes it by chance.
+//! A request is sent to at most as many instances as its route allows. If all of them refused it without
+//! running it, it may be sent to one of them again: an instance that sheds a fraction of its arrivals may
+//! accept it on another try.
 
 use olivegate_types::{InstanceName, Refusal, RefusalReason};
 
 use crate::model::RetrySafety;
 use crate::reply::{Failure, FailureReason};
 
-/// Instances without room that a request is offered to at most. They are drawn among many and
-/// the least busy is taken, so further ones are full too, and offers cost the nodes work.
-const MOST_FULL: u32 = 4;
+/// Maximum number of instances at capacity that a request is offered to. Each is the least busy of a random
+/// sample, so further ones are likely to be full too, and every offer costs the nodes work.
+const MAX_CAPACITY_REFUSALS: u32 = 4;
 
-/// Arrivals of a request at most, where instances refuse it unrun: of those that shed a half of
-/// what arrives, one in 64 requests is refused by all. By arithmetic, two arrivals let one chain of
-/// four calls in three through, six let 19 in 20.
-const MOST_ARRIVALS: u32 = 6;
+/// Maximum number of times that a request is sent to instances which refuse it without running it. With
+/// instances that shed half of their arrivals, one request in 64 is refused every time. By arithmetic, two
+/// arrivals let one in three chains of four calls through; six let 19 in 20 through.
+const MAX_ARRIVALS: u32 = 6;
 
-/// Gates without a repeat left that a request is offered to at most.
-const MOST_DENIED: u32 = 2;
+/// Maximum number of gates with an exhausted retry budget that a request is offered to.
+const MAX_RETRY_DENIALS: u32 = 2;
 
-/// Instances that may end with one request at work: what runs it next would, too.
-const MOST_ENDED: usize = 2;
+/// Maximum number of instances that may terminate while they run one request: an instance that runs it next
+/// would probably terminate too.
+const MAX_FATAL_RUNS: usize = 2;
 
-/// What the client is told when no instance gave an answer.
+/// The failure reported to the client when no instance gave a response.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
-    /// Not run, and never will be.
+pub enum FinalFailure {
+    /// The request was not run and never will be.
     NotRun(Refusal),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 /// What to do after an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Next {
+pub enum NextStep {
     /// Offer the request to another instance.
     TryAnother,
-    /// Tell the client.
-    GiveUp(Verdict),
+    /// Report the failure to the client.
+    GiveUp(FinalFailure),
 }
 
-/// The attempts of one request.
+/// The state of one request's attempts.
 #[derive(Debug)]
 pub struct Attempts {
     safety: RetrySafety,
-    most_instances: u32,
+    max_instances: u32,
     arrivals: u32,
-    /// Instances that got the request, and those of which nobody can rule it out: a gate that fell
-    /// silent may still pass it on. They count against the route's attempts, but need no repeat.
-    reached: Vec<InstanceName>,
-    /// Those that said that they did not run it, for want of room.
+    /// Instances that received the request, and those that may have: a gate that stopped responding may still
+    /// pass it on. They count against the attempts allowed by the route, but need no retry budget.
+    reached_instances: Vec<InstanceName>,
+    /// Instances that refused the request without running it, for lack of capacity.
     shed_by: Vec<InstanceName>,
-    /// Those that ended with it at work.
-    ended: usize,
-    /// Runs that nobody can rule out.
+    /// Number of instances that terminated while they ran the request.
+    fatal_runs: usize,
+    /// Number of runs that may have happened.
     possible_runs: u32,
     may_have_run: bool,
-    full: u32,
-    /// Gates that had no repeat left for it.
-    denied: u32,
-    tried: Vec<InstanceName>,
-    /// The refusal that the client is told: want of capacity before anything else.
+    capacity_refusals: u32,
+    /// Number of gates that refused it because their retry budget was exhausted.
+    retry_denials: u32,
+    offered_to: Vec<InstanceName>,
+    /// The refusal reported to the client; a capacity shortage takes precedence over other reasons.
     refusal: Option<Refusal>,
-    trail: String,
+    attempt_log: String,
 }
 
 impl Attempts {
-    /// No attempt yet. At most `most_instances` may get the request.
-    pub fn new(safety: RetrySafety, most_instances: u32) -> Self {
+    /// Creates the state before the first attempt. At most `max_instances` instances may receive the request.
+    pub fn new(safety: RetrySafety, max_instances: u32) -> Self {
         Attempts {
             safety,
-            most_instances: most_instances.max(1),
+            max_instances: max_instances.max(1),
             arrivals: 0,
-            reached: Vec::new(),
+            reached_instances: Vec::new(),
             shed_by: Vec::new(),
-            ended: 0,
+            fatal_runs: 0,
             possible_runs: 0,
             may_have_run: false,
-            full: 0,
-            denied: 0,
-            tried: Vec::new(),
+            capacity_refusals: 0,
+            retry_denials: 0,
+            offered_to: Vec::new(),
             refusal: None,
-            trail: String::new(),
+            attempt_log: String::new(),
         }
     }
 
-    /// What became of each attempt, in order, for log lines.
-    pub fn trail(&self) -> &str {
-        &self.trail
+    /// Result of each attempt, in order, for log lines.
+    pub fn attempt_log(&self) -> &str {
+        &self.attempt_log
     }
 
-    fn note(&mut self, result: &str) {
-        if !self.trail.is_empty() {
-            self.trail.push(',');
+    fn log_attempt(&mut self, result: &str) {
+        if !self.attempt_log.is_empty() {
+            self.attempt_log.push(',');
+        }
+        let instance = self.offered_to.last().map_or("none", |name| name.as_str());
+        self.attempt_log.push_str(instance);
+        self.attempt_log.push(':');
+        self.attempt_log.push_str(result);
+    }
+
+    /// True when the request may be offered to `instance`: one that it has not been offered to, as long as
+    /// its route allows another instance; after that, one that refused it without running it.
+    pub fn may_offer_to(&self, instance: &InstanceName) -> bool {
+        if self.has_reached_max_instances() {
+            self.shed_by.contains(instance)
+        } else {
+            !self.offered_to.contains(instance)
         }
-        let instance = self.tried.last().map_or("none", |name| name.as_str());
-        self.trail.push_str(instance);
-        self.trail.push(':');
-        self.trail.push_str(result);
-    }
-
-    /// True when the request may be offered to `instance`: one that it was not offered to, while
-    /// its route allows another one; then one that refused it unrun.
-    pub fn may_go_to(&self, instance: &InstanceName) -> bool {
-        if self.reaches_no_more() { self.shed_by.contains(instance) } else { !self.tried.contains(instance) }
     }
 
-    fn reaches_no_more(&self) -> bool {
-        self.reached.len() >= self.most_instances as usize
+    fn has_reached_max_instances(&self) -> bool {
+        self.reached_instances.len() >= self.max_instances as usize
     }
 
-    fn note_reached(&mut self) {
-        let instance = self.tried.last().cloned().unwrap_or_else(|| InstanceName::new("none"));
-        if !self.reached.contains(&instance) {
-            self.reached.push(instance);
+    fn record_reached(&mut self) {
+        let instance = self.offered_to.last().cloned().unwrap_or_else(|| InstanceName::new("none"));
+        if !self.reached_instances.contains(&instance) {
+            self.reached_instances.push(instance);
         }
     }
 
-    /// True when an instance got the request already: the next arrival is a repeat.
-    pub fn has_arrived(&self) -> bool {
+    /// True when an instance has already received the request, so the next arrival is a retry.
+    pub fn has_reached_instance(&self) -> bool {
         self.arrivals > 0
     }
 
@@ -132,88 +138,89 @@
         self.may_have_run
     }
 
-    /// Notes an offer to `instance`.
+    /// Records an offer to `instance`.
     pub fn on_offer(&mut self, instance: &InstanceName) {
-        self.tried.push(instance.clone());
+        self.offered_to.push(instance.clone());
     }
 
-    /// The gate refused.
-    pub fn on_refused(&mut self, refusal: Refusal) -> Next {
-        self.note(refusal.reason.as_str());
-        let tells_more = self.refusal.is_none_or(|known| !known.reason.is_capacity_shortage());
-        if tells_more || refusal.reason.is_capacity_shortage() {
+    /// Handles a refusal by the gate.
+    pub fn on_refused(&mut self, refusal: Refusal) -> NextStep {
+        self.log_attempt(refusal.reason.as_str());
+        let takes_precedence = self.refusal.is_none_or(|known| !known.reason.is_capacity_shortage());
+        if takes_precedence || refusal.reason.is_capacity_shortage() {
             self.refusal = Some(refusal);
         }
-        self.full += u32::from(refusal.reason.is_capacity_shortage());
-        let is_denied = matches!(refusal.reason, RefusalReason::RepeatBudget | RefusalReason::SuspectWaits);
-        self.denied += u32::from(is_denied);
+        self.capacity_refusals += u32::from(refusal.reason.is_capacity_shortage());
+        let is_retry_denial = matches!(refusal.reason, RefusalReason::RepeatBudget | RefusalReason::SuspectWaits);
+        self.retry_denials += u32::from(is_retry_denial);
         if matches!(refusal.reason, RefusalReason::AdmissionLevel | RefusalReason::Quarantined) {
-            // Its rank, and what is held against its content, are the same everywhere.
+            // Its shedding rank and the quarantine of its content are the same at every gate.
             return self.give_up();
         }
-        let goes_on = self.full < MOST_FULL && self.denied < MOST_DENIED;
-        if goes_on { Next::TryAnother } else { self.give_up() }
+        let may_continue =
+            self.capacity_refusals < MAX_CAPACITY_REFUSALS && self.retry_denials < MAX_RETRY_DENIALS;
+        if may_continue { NextStep::TryAnother } else { self.give_up() }
     }
 
-    /// The exchange gave no answer.
-    pub fn on_failed(&mut self, failure: Failure) -> Next {
-        self.note(failure.reason.as_str());
+    /// Handles an exchange that gave no response.
+    pub fn on_failed(&mut self, failure: Failure) -> NextStep {
+        self.log_attempt(failure.reason.as_str());
         self.arrivals += u32::from(failure.arrived);
         self.possible_runs += u32::from(failure.may_have_run);
         self.may_have_run |= failure.may_have_run;
         if failure.arrived || failure.may_have_run {
-            self.note_reached();
+            self.record_reached();
         }
         if self.may_have_run && self.safety == RetrySafety::Unsafe {
-            return Next::GiveUp(Verdict::Unknown);
+            return NextStep::GiveUp(FinalFailure::Unknown);
         }
-        self.ended += usize::from(failure.reason == FailureReason::InstanceEnded);
-        self.note_shed(failure.reason == FailureReason::RefusedByInstance);
-        self.next()
+        self.fatal_runs += usize::from(failure.reason == FailureReason::InstanceEnded);
+        self.record_shed(failure.reason == FailureReason::RefusedByInstance);
+        self.next_step()
     }
 
-    /// The instance ran the request and failed it by itself.
-    pub fn on_instance_failed(&mut self) -> Next {
-        self.note("instance-failed");
+    /// Handles a response in which the instance itself failed the request.
+    pub fn on_instance_failed(&mut self) -> NextStep {
+        self.log_attempt("instance-failed");
         self.arrivals += 1;
         self.possible_runs += 1;
         self.may_have_run = true;
-        self.note_reached();
-        self.note_shed(false);
-        if self.safety == RetrySafety::Safe { self.next() } else { self.give_up() }
+        self.record_reached();
+        self.record_shed(false);
+        if self.safety == RetrySafety::Safe { self.next_step() } else { self.give_up() }
     }
 
-    /// Notes whether the instance tried last refused the request unrun for want of room.
-    fn note_shed(&mut self, shed: bool) {
-        let Some(instance) = self.tried.last() else { return };
+    /// Records whether the instance tried last refused the request without running it, for lack of capacity.
+    fn record_shed(&mut self, was_shed: bool) {
+        let Some(instance) = self.offered_to.last() else { return };
         self.shed_by.retain(|other| other != instance);
-        if shed {
+        if was_shed {
             self.shed_by.push(instance.clone());
         }
     }
 
-    fn next(&self) -> Next {
-        let is_over = self.possible_runs >= self.most_instances
-            || self.arrivals >= MOST_ARRIVALS
-            || self.ended >= MOST_ENDED
-            || (self.reaches_no_more() && self.shed_by.is_empty());
-        if is_over { self.give_up() } else { Next::TryAnother }
+    fn next_step(&self) -> NextStep {
+        let is_exhausted = self.possible_runs >= self.max_instances
+            || self.arrivals >= MAX_ARRIVALS
+            || self.fatal_runs >= MAX_FATAL_RUNS
+            || (self.has_reached_max_instances() && self.shed_by.is_empty());
+        if is_exhausted { self.give_up() } else { NextStep::TryAnother }
     }
 
-    /// There is no further instance to offer the request to.
-    pub fn on_no_candidate(&self) -> Verdict {
-        self.verdict()
+    /// Returns the final failure when there is no further instance to offer the request to.
+    pub fn on_no_candidate(&self) -> FinalFailure {
+        self.final_failure()
     }
 
-    fn give_up(&self) -> Next {
-        Next::GiveUp(self.verdict())
+    fn give_up(&self) -> NextStep {
+        NextStep::GiveUp(self.final_failure())
     }
 
-    fn verdict(&self) -> Verdict {
+    fn final_failure(&self) -> FinalFailure {
         if self.may_have_run {
-            return Verdict::Unknown;
+            return FinalFailure::Unknown;
         }
-        let short = std::time::Duration::from_millis(250);
-        Verdict::NotRun(self.refusal.unwrap_or(Refusal::new(RefusalReason::NoInstance, short)))
+        let retry_after = std::time::Duration::from_millis(250);
+        FinalFailure::NotRun(self.refusal.unwrap_or(Refusal::new(RefusalReason::NoInstance, retry_after)))
     }
 }
--- a/crates/sidecar/src/edge/call_context.rs
+++ b/crates/sidecar/src/edge/call_context.rs
@@ -1,4 +1,4 @@
-//! What a request hands down to the calls that are made for it.
+//! Context that a request passes down to the calls made for it.
 
 use olivegate_types::SheddingRank;
 use rand::RngExt;
@@ -9,20 +9,20 @@
 use crate::model::Route;
 use crate::state::Node;
 
-/// Where a request stands in its call graph.
+/// A request's position in its call graph.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RequestLineage {
-    /// The request at the root.
+pub struct CallContext {
+    /// The request at the root of the graph.
     pub root: RootRequest,
-    /// Calls between the root and this request.
+    /// Number of calls between the root and this request.
     pub hop: u8,
-    /// Probability that the run which makes this call is a repeat; 0 for a client's request.
+    /// Probability that the run which makes this call is a retry; 0 for a client's request.
     pub parent_retry_probability: f32,
 }
 
 impl RootRequest {
-    /// A request of `route` of whose kind the part `admitted` is let begin, made by a tenant with
-    /// this priority, if by any; draws its rank.
+    /// Creates the root for a request of `route`, from a tenant with `tenant_priority` if there is one, and
+    /// draws its shedding rank. `admitted` is the fraction of such requests that are admitted.
     pub fn new(node: &Node, route: &Route, tenant_priority: Option<u32>, admitted: f64) -> Self {
         RootRequest {
             route: route.name.clone(),
@@ -33,24 +33,25 @@
     }
 }
 
-impl RequestLineage {
-    /// A client's request with this root.
-    pub fn of_client(root: RootRequest) -> Self {
-        RequestLineage { root, hop: 0, parent_retry_probability: 0.0 }
+impl CallContext {
+    /// The context of a client's request with this root.
+    pub fn for_client(root: RootRequest) -> Self {
+        CallContext { root, hop: 0, parent_retry_probability: 0.0 }
     }
 
-    /// A call of the instance. Where its parent is unknown it goes by its own route.
-    pub fn of_call(node: &Node, route: &Route, parent: Parent) -> Self {
+    /// The context of a call made by the instance. Where its parent is unknown, the call becomes a root of
+    /// its own route.
+    pub fn for_call(node: &Node, route: &Route, parent: Parent) -> Self {
         let lineage = node.lineage.borrow();
         let parent_retry_probability = lineage.retry_probability(parent) as f32;
         match parent.key().and_then(|key| lineage.request(key)) {
-            Some(request) => RequestLineage {
+            Some(request) => CallContext {
                 root: request.root.clone(),
                 hop: request.hop.saturating_add(1),
                 parent_retry_probability,
             },
             None => {
-                RequestLineage { root: RootRequest::new(node, route, None, 1.0), hop: 1, parent_retry_probability }
+                CallContext { root: RootRequest::new(node, route, None, 1.0), hop: 1, parent_retry_probability }
             }
         }
     }
--- a/crates/sidecar/src/edge/local_response.rs
+++ b/crates/sidecar/src/edge/local_response.rs
@@ -1,4 +1,4 @@
-//! Answers that the node gives itself. They carry no instance's signature.
+//! Responses that the node generates itself. They carry no instance signature.
 
 use std::time::Duration;
 
@@ -6,89 +6,89 @@
 use olivegate_http1::{Fields, ResponseHead};
 use olivegate_types::RefusalReason;
 
-use crate::edge::attempts::Verdict;
+use crate::edge::attempts::FinalFailure;
 use crate::reply::{Body, Response, ResponseFault};
 use crate::wire_names::WireNames;
 
-/// Status of a request without a key that is known.
+/// Status of the response to a request whose key is missing or unknown.
 pub const UNAUTHORIZED: u16 = 401;
 
-/// Why the node answers itself.
+/// Why the node responds itself.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum OwnAnswer {
-    /// The request is at fault.
+pub enum LocalResponse {
+    /// The request is invalid.
     Rejected {
-        /// Status.
+        /// Status code.
         status: u16,
-        /// What is wrong with it.
+        /// What is wrong with the request.
         reason: &'static str,
     },
-    /// It was not run and never will be.
+    /// The request was not run and never will be.
     NotRun {
-        /// Why.
+        /// Why it was refused.
         reason: RefusalReason,
-        /// When to come back.
+        /// When the client should retry.
         retry_after: Duration,
     },
-    /// Its tenant has used up its quota; it was not run and never will be.
+    /// The tenant has exhausted its quota; the request was not run and never will be.
     OverQuota {
-        /// When the tenant has room again.
+        /// When the tenant's quota allows the next request.
         retry_after: Duration,
     },
-    /// It may have run; the answer can't be had.
+    /// The request may have run; its response is lost.
     Unknown,
-    /// No answer in time; it may have run.
+    /// No response in time; the request may have run.
     TimedOut,
 }
 
-impl From<Verdict> for OwnAnswer {
-    fn from(verdict: Verdict) -> Self {
+impl From<FinalFailure> for LocalResponse {
+    fn from(verdict: FinalFailure) -> Self {
         match verdict {
-            Verdict::NotRun(refusal) => {
-                OwnAnswer::NotRun { reason: refusal.reason, retry_after: refusal.retry_after }
+            FinalFailure::NotRun(refusal) => {
+                LocalResponse::NotRun { reason: refusal.reason, retry_after: refusal.retry_after }
             }
-            Verdict::Unknown => OwnAnswer::Unknown,
+            FinalFailure::Unknown => LocalResponse::Unknown,
         }
     }
 }
 
-impl OwnAnswer {
-    /// Status of the answer.
+impl LocalResponse {
+    /// Status code of the response.
     pub fn status(self) -> u16 {
         match self {
-            OwnAnswer::Rejected { status, .. } => status,
-            OwnAnswer::NotRun { .. } => 503,
-            OwnAnswer::OverQuota { .. } => 429,
-            OwnAnswer::Unknown => 502,
-            OwnAnswer::TimedOut => 504,
+            LocalResponse::Rejected { status, .. } => status,
+            LocalResponse::NotRun { .. } => 503,
+            LocalResponse::OverQuota { .. } => 429,
+            LocalResponse::Unknown => 502,
+            LocalResponse::TimedOut => 504,
         }
     }
 
-    /// Text of log lines, metrics and the answer's body.
+    /// Reason as written in log lines, metrics and the response body.
     pub fn reason(self) -> &'static str {
         match self {
-            OwnAnswer::Rejected { reason, .. } => reason,
-            OwnAnswer::NotRun { reason, .. } => reason.as_str(),
-            OwnAnswer::OverQuota { .. } => "over-quota",
-            OwnAnswer::Unknown => "unknown",
-            OwnAnswer::TimedOut => "timed-out",
+            LocalResponse::Rejected { reason, .. } => reason,
+            LocalResponse::NotRun { reason, .. } => reason.as_str(),
+            LocalResponse::OverQuota { .. } => "over-quota",
+            LocalResponse::Unknown => "unknown",
+            LocalResponse::TimedOut => "timed-out",
         }
     }
 
-    /// True when the request was not served because there was no room for it. Where no
-    /// instance is left at all, letting fewer requests begin helps nobody.
+    /// True when the request was refused for lack of capacity. This excludes the case where no instance is
+    /// left at all: admitting fewer requests does not help there.
     pub fn is_capacity_shortage(self) -> bool {
-        let OwnAnswer::NotRun { reason, .. } = self else { return false };
+        let LocalResponse::NotRun { reason, .. } = self else { return false };
         reason.is_capacity_shortage()
     }
 
-    /// The answer itself.
-    pub fn to_answer(self, wire_names: &WireNames, request_id: Option<&Bytes>) -> Response {
+    /// Builds the response.
+    pub fn to_response(self, wire_names: &WireNames, request_id: Option<&Bytes>) -> Response {
         let mut fields = Fields::default();
         if let Some(id) = request_id {
             fields.add(wire_names.request_id, id.clone());
         }
-        if let OwnAnswer::NotRun { retry_after, .. } | OwnAnswer::OverQuota { retry_after } = self {
+        if let LocalResponse::NotRun { retry_after, .. } | LocalResponse::OverQuota { retry_after } = self {
             fields.add(wire_names.retry_after, format!("{:.2}", retry_after.as_secs_f64()));
         }
         if self.status() == UNAUTHORIZED {
--- a/crates/sidecar/src/edge/mod.rs
+++ b/crates/sidecar/src/edge/mod.rs
@@ -1,17 +1,17 @@
-//! The edge: requests that begin on this machine.
+//! The edge: the outbound proxy for requests that originate on this machine.
 //!
 //! - [`connection`]: one connection of a client or of the instance.
-//! - [`request_assembly`]: a request from the pieces of its message.
-//! - [`request`]: what the headers of a request say.
-//! - [`call_context`]: what a request hands down to its calls.
-//! - [`tenant_checks`]: whose a request is, and whether its tenant has room for it.
-//! - [`admission`]: which requests may begin.
-//! - [`request_handler`]: a request's way to its one answer.
-//! - [`dispatch`]: instance and attempts.
-//! - [`attempts`]: what follows an attempt without an answer.
+//! - [`request_assembly`]: assembles requests from the frames of a connection.
+//! - [`request`]: validates the head of a request.
+//! - [`call_context`]: context that a request passes down to its calls.
+//! - [`tenant_checks`]: authentication and quota of tenants.
+//! - [`admission`]: admission control.
+//! - [`request_handler`]: handles a request from arrival to response.
+//! - [`dispatch`]: chooses instances and makes the attempts.
+//! - [`attempts`]: decides whether to retry after an attempt without a response.
 //! - [`remote`] and [`gate_connection_pool`]: offers to gates on other machines.
-//! - [`outcome`]: how a request fared, and the log lines that tell it.
-//! - [`local_response`]: answers that the node gives itself.
+//! - [`outcome`]: result of a request, and its log lines.
+//! - [`local_response`]: responses that the node generates itself.
 
 pub mod admission;
 pub mod attempts;
@@ -34,7 +34,7 @@
 use crate::state::Node;
 use crate::transport;
 
-/// Takes connections of clients and of the instance until the process ends.
+/// Accepts connections of clients and of the instance until the process ends.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     let most = node.settings().machine.max_connections();
     let serve = |stream, place| connection::serve(node.clone(), stream, place);
--- a/crates/sidecar/src/edge/outcome.rs
+++ b/crates/sidecar/src/edge/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request fared, and the log lines that tell it.
+//! The result of a request, and the log lines that report it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use olivegate_authentication::Tenant;
 use olivegate_types::Moment;
 
-use crate::edge::local_response::OwnAnswer;
-use crate::edge::request::CheckedRequest;
+use crate::edge::local_response::LocalResponse;
+use crate::edge::request::ValidatedRequest;
 use crate::event::{LogClass, display_id};
 use crate::lineage::Origin;
 use crate::model::{Instance, Route};
@@ -15,24 +15,30 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// How a request fared before its answer was made.
+/// What is known of a request's handling, for its log line and metrics.
 pub struct Outcome {
-    /// Its route, where it has one.
+    /// Its route, once one has matched.
     pub route: Option<Rc<Route>>,
-    /// Where it came from.
+    /// Whether it comes from a client or from the instance.
     pub origin: Origin,
-    /// The tenant that makes it, if one does.
+    /// Its authenticated tenant, if any.
     pub tenant: Option<Rc<Tenant>>,
-    /// When its sender gives it up.
+    /// When its sender gives up.
     pub deadline: Moment,
-    /// What became of each attempt.
-    pub trail: String,
+    /// Result of each attempt, in order.
+    pub attempt_log: String,
 }
 
 impl Outcome {
-    /// Nothing is known of the request but when it arrived.
-    pub fn begin(arrived: Moment) -> Self {
-        Outcome { route: None, origin: Origin::Client, tenant: None, deadline: arrived, trail: String::new() }
+    /// Creates the outcome of a request of which only the arrival time is known.
+    pub fn new(arrived: Moment) -> Self {
+        Outcome {
+            route: None,
+            origin: Origin::Client,
+            tenant: None,
+            deadline: arrived,
+            attempt_log: String::new(),
+        }
     }
 
     /// Name of its route, for log lines and metrics.
@@ -40,7 +46,7 @@
         self.route.as_ref().map_or("none", |route| route.name.as_str())
     }
 
-    /// Counts its answer.
+    /// Counts its response in the metrics.
     pub fn count(&self, node: &Node, result: &str, elapsed: Duration) {
         node.metrics.on_answer(self.route_name(), result, elapsed);
         if let Some(tenant) = &self.tenant {
@@ -54,15 +60,17 @@
     }
 }
 
-/// Age in milliseconds of what is proven of the configuration, for log lines.
+/// Age in milliseconds of the proof that the configuration is current, for log lines.
 fn proof_age(node: &Node) -> String {
     node.access.proof_age(clock::now()).map_or_else(|| "none".into(), |age| age.as_millis().to_string())
 }
 
-/// Logs an answer that the node gives itself.
-pub fn log_own_answer(node: &Node, id: &[u8], outcome: &Outcome, own: OwnAnswer, elapsed: Duration) {
-    let class = match own {
-        OwnAnswer::NotRun { .. } | OwnAnswer::OverQuota { .. } | OwnAnswer::Rejected { .. } => LogClass::Refusal,
+/// Logs a response that the node generated itself.
+pub fn log_local_response(node: &Node, id: &[u8], outcome: &Outcome, response: LocalResponse, elapsed: Duration) {
+    let class = match response {
+        LocalResponse::NotRun { .. } | LocalResponse::OverQuota { .. } | LocalResponse::Rejected { .. } => {
+            LogClass::Refusal
+        }
         _ => LogClass::Failure,
     };
     if !node.may_log(class, id) {
@@ -75,22 +83,22 @@
         outcome.route_name(),
         outcome.tenant_name(),
         outcome.origin.as_str(),
-        own.status(),
-        own.reason(),
+        response.status(),
+        response.reason(),
         node.known_state().configuration,
         proof_age(node),
         elapsed.as_millis(),
-        outcome.trail,
+        outcome.attempt_log,
     );
 }
 
-/// Age in milliseconds of a gate's last report, for log lines; none where it never reported.
+/// Age in milliseconds of a gate's last load report, for log lines; `none` if it never reported.
 fn report_age(age: Duration) -> String {
     if age == Duration::MAX { "none".into() } else { age.as_millis().to_string() }
 }
 
-/// Logs to which instance a request is offered, and what decided it.
-pub fn log_offer(node: &Node, request: &CheckedRequest, instance: &Instance, deadline: Moment) {
+/// Logs to which instance a request is offered, with the values that the choice was based on.
+pub fn log_offer(node: &Node, request: &ValidatedRequest, instance: &Instance, deadline: Moment) {
     if !node.may_log(LogClass::Routine, &request.id) {
         return;
     }
@@ -108,8 +116,8 @@
     );
 }
 
-/// Logs an attempt that gave no answer.
-pub fn log_failed_attempt(node: &Node, request: &CheckedRequest, instance: &Instance, failure: Failure) {
+/// Logs an attempt that gave no response.
+pub fn log_failed_attempt(node: &Node, request: &ValidatedRequest, instance: &Instance, failure: Failure) {
     if !node.may_log(LogClass::Failure, &request.id) {
         return;
     }
@@ -123,27 +131,27 @@
     );
 }
 
-/// Tells of a request whose client left before its answer: dropped with the request.
-pub struct CancelLog<'a> {
+/// Logs a request whose client disconnected before the response, when it is dropped with the request.
+pub struct CancellationLog<'a> {
     node: &'a Node,
     id: &'a [u8],
     arrived: Moment,
     is_answered: bool,
 }
 
-impl<'a> CancelLog<'a> {
-    /// A request that arrived at `arrived`.
-    pub fn begin(node: &'a Node, id: &'a [u8], arrived: Moment) -> Self {
-        CancelLog { node, id, arrived, is_answered: false }
+impl<'a> CancellationLog<'a> {
+    /// Creates the log guard of a request that arrived at `arrived`.
+    pub fn new(node: &'a Node, id: &'a [u8], arrived: Moment) -> Self {
+        CancellationLog { node, id, arrived, is_answered: false }
     }
 
-    /// It has an answer.
-    pub fn answered(mut self) {
+    /// Marks the request as answered, so that no cancellation is logged.
+    pub fn mark_answered(mut self) {
         self.is_answered = true;
     }
 }
 
-impl Drop for CancelLog<'_> {
+impl Drop for CancellationLog<'_> {
     fn drop(&mut self) {
         if !self.is_answered && self.node.may_log(LogClass::Routine, self.id) {
             let elapsed = clock::now().since(self.arrived);
@@ -152,9 +160,9 @@
     }
 }
 
-/// Logs an instance's answer: failures always, others for sampled requests.
-pub fn log_answer(node: &Node, id: &[u8], outcome: &Outcome, answer: &Response, elapsed: Duration) {
-    let class = if answer.head.status < 500 { LogClass::Routine } else { LogClass::Failure };
+/// Logs an instance's response: server errors as failures, others only for sampled requests.
+pub fn log_response(node: &Node, id: &[u8], outcome: &Outcome, response: &Response, elapsed: Duration) {
+    let class = if response.head.status < 500 { LogClass::Routine } else { LogClass::Failure };
     if node.may_log(class, id) {
         log::info!(
             "event=answered request={} route={} tenant={} origin={} status={} fault={} after_ms={} attempts={:?}",
@@ -162,10 +170,10 @@
             outcome.route_name(),
             outcome.tenant_name(),
             outcome.origin.as_str(),
-            answer.head.status,
-            answer.fault.as_str(),
+            response.head.status,
+            response.fault.as_str(),
             elapsed.as_millis(),
-            outcome.trail,
+            outcome.attempt_log,
         );
     }
 }
--- a/crates/sidecar/src/edge/remote.rs
+++ b/crates/sidecar/src/edge/remote.rs
@@ -14,7 +14,7 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// A gate's reply and its load, where it told that.
+/// A gate's reply and its load, if it reported one.
 pub struct RemoteReply {
     /// The reply.
     pub reply: GateReply,
@@ -28,55 +28,56 @@
     }
 }
 
-/// Offers a request and waits for what becomes of it. A request that may run only once and
-/// was confirmed is not given up when the gate falls silent: nothing better can be done with
-/// it than wait.
+/// Offers a request and waits for the reply. A confirmed request that may run only once is not abandoned when
+/// the gate stops responding: it can't be retried, so waiting is the best option.
 pub async fn offer(node: &Rc<Node>, address: SocketAddr, offer: Offer, body: Option<BodyStream>) -> RemoteReply {
     let Ok(stream) = node.gate_connections.connection(address).await else {
         return Failure::not_sent(FailureReason::GateLost).into();
     };
     let instance = offer.instance.clone();
-    let progress = Progress { needs_confirmation: offer.needs_confirmation, confirmed: false, heard: false };
-    let mut exchange = Exchange { node, instance, stream, sending: body, progress };
+    let progress =
+        OfferProgress { needs_confirmation: offer.needs_confirmation, confirmed: false, heard_from_gate: false };
+    let mut exchange = Exchange { node, instance, stream, unsent_body: body, progress };
     let message = EdgeMessage::Offer(Box::new(offer));
     if exchange.send(message).await.is_err() {
         return exchange.progress.failure(FailureReason::GateLost).into();
     }
     match exchange.reply().await {
         Ok(message) => {
-            let whole_request = exchange.sending.is_none();
-            take_reply(node, address, exchange.stream, message, whole_request)
+            let request_sent = exchange.unsent_body.is_none();
+            to_remote_reply(node, address, exchange.stream, message, request_sent)
         }
         Err(failure) => failure.into(),
     }
 }
 
-/// How far an offer has come, as the edge knows.
+/// Progress of an offer, as known to the edge.
 #[derive(Debug, Clone, Copy)]
-struct Progress {
+struct OfferProgress {
     needs_confirmation: bool,
     confirmed: bool,
-    /// The gate said something about the offer.
-    heard: bool,
+    /// The gate has sent a message about the offer.
+    heard_from_gate: bool,
 }
 
-impl Progress {
-    /// What is sure when the exchange fails now.
+impl OfferProgress {
+    /// The failure to report if the exchange fails now.
     fn failure(self, reason: FailureReason) -> Failure {
         if self.needs_confirmation && !self.confirmed {
             return Failure::not_sent(reason);
         }
-        // A gate that lives says so in time; one that said nothing has not passed it on.
-        let arrived = self.heard || reason != FailureReason::GateSilent;
+        // A running gate sends its first progress message in time; one that has sent nothing has not passed
+        // the request on.
+        let arrived = self.heard_from_gate || reason != FailureReason::GateSilent;
         Failure { reason, may_have_run: true, arrived }
     }
 
-    /// A body follows the confirmation, where one is needed: the gate reads it only then.
-    fn takes_body(self) -> bool {
+    /// True when the body may be sent. Where a confirmation is needed, the gate reads the body only after it.
+    fn may_send_body(self) -> bool {
         !self.needs_confirmation || self.confirmed
     }
 
-    fn patience(self) -> Duration {
+    fn silence_limit(self) -> Duration {
         if self.needs_confirmation && self.confirmed { Duration::from_secs(3_600) } else { SILENCE_LIMIT }
     }
 }
@@ -86,8 +87,8 @@
     node: &'a Node,
     instance: InstanceName,
     stream: GateStream,
-    sending: Option<BodyStream>,
-    progress: Progress,
+    unsent_body: Option<BodyStream>,
+    progress: OfferProgress,
 }
 
 impl Exchange<'_> {
@@ -95,26 +96,26 @@
         self.stream.send(gate_protocol::encode(&message)).await
     }
 
-    /// The gate's reply; sends the body meanwhile and confirms when a slot is granted.
+    /// Waits for the gate's reply; meanwhile sends the body, and confirms when a slot is granted.
     async fn reply(&mut self) -> Result<GateMessage, Failure> {
         let mut silent_since = Instant::now();
         loop {
             let suspect_at = silent_since + SUSPECT_AFTER;
             let is_suspected = Instant::now() >= suspect_at;
-            let limit = if is_suspected { silent_since + self.progress.patience() } else { suspect_at };
+            let limit = if is_suspected { silent_since + self.progress.silence_limit() } else { suspect_at };
             tokio::select! {
                 biased;
                 frame = self.stream.next() => {
                     silent_since = Instant::now();
-                    self.progress.heard = true;
+                    self.progress.heard_from_gate = true;
                     match self.message_of(frame)? {
                         GateMessage::Progress => {}
                         GateMessage::Granted => self.confirm().await?,
                         message => return Ok(message),
                     }
                 }
-                piece = next_piece(&mut self.sending), if self.progress.takes_body() => {
-                    self.send_piece(piece).await?;
+                chunk = next_chunk(&mut self.unsent_body), if self.progress.may_send_body() => {
+                    self.send_chunk(chunk).await?;
                 }
                 () = tokio::time::sleep_until(limit) => {
                     if is_suspected {
@@ -138,37 +139,37 @@
         sent.map_err(|_| self.progress.failure(FailureReason::GateLost))
     }
 
-    async fn send_piece(&mut self, piece: Option<Result<Bytes, IncompleteBody>>) -> Result<(), Failure> {
-        let message = match piece {
+    async fn send_chunk(&mut self, chunk: Option<Result<Bytes, IncompleteBody>>) -> Result<(), Failure> {
+        let message = match chunk {
             Some(Ok(data)) => EdgeMessage::Data(data),
             Some(Err(IncompleteBody)) => return Err(Failure::unknown(FailureReason::RequestBroken)),
             None => {
-                self.sending = None;
+                self.unsent_body = None;
                 EdgeMessage::End
             }
         };
-        // A gate that has replied already may have closed; its reply is read next.
+        // A gate that has already replied may have closed the connection; its reply is read next.
         let _ = self.send(message).await;
         Ok(())
     }
 }
 
-async fn next_piece(body: &mut Option<BodyStream>) -> Option<Result<Bytes, IncompleteBody>> {
+async fn next_chunk(body: &mut Option<BodyStream>) -> Option<Result<Bytes, IncompleteBody>> {
     match body {
-        Some(pieces) => pieces.next().await,
+        Some(chunks) => chunks.next().await,
         None => futures::future::pending().await,
     }
 }
 
-fn take_reply(
+fn to_remote_reply(
     node: &Rc<Node>,
     address: SocketAddr,
     stream: GateStream,
     message: GateMessage,
-    whole_request: bool,
+    request_sent: bool,
 ) -> RemoteReply {
     let keep = |stream| {
-        if whole_request {
+        if request_sent {
             node.gate_connections.keep(address, stream);
         }
     };
@@ -184,20 +185,20 @@
         }
         GateMessage::Answered { head, body: Some(bytes), fault, load, .. } => {
             keep(stream);
-            let answer = Response { head, body: Body::Whole(bytes), fault };
-            RemoteReply { reply: GateReply::Answered(answer), load: Some(load) }
+            let response = Response { head, body: Body::Whole(bytes), fault };
+            RemoteReply { reply: GateReply::Answered(response), load: Some(load) }
         }
         GateMessage::Answered { head, body: None, length, fault, load } => {
-            let answer = Response { head, body: Body::Stream(streamed_body(stream), length), fault };
-            RemoteReply { reply: GateReply::Answered(answer), load: Some(load) }
+            let response = Response { head, body: Body::Stream(streamed_body(stream), length), fault };
+            RemoteReply { reply: GateReply::Answered(response), load: Some(load) }
         }
         _ => Failure::unknown(FailureReason::GateLost).into(),
     }
 }
 
-/// The pieces that follow on the connection, which ends with them.
+/// The chunks that follow on the connection, which is closed after them.
 fn streamed_body(stream: GateStream) -> BodyStream {
-    let pieces = futures::stream::unfold(Some(stream), |state| async move {
+    let chunks = futures::stream::unfold(Some(stream), |state| async move {
         let mut stream = state?;
         let message = match stream.next().await {
             Some(Ok(frame)) => gate_protocol::decode(&frame).ok(),
@@ -209,5 +210,5 @@
             _ => Some((Err(IncompleteBody), None)),
         }
     });
-    pieces.boxed_local()
+    chunks.boxed_local()
 }
--- a/crates/sidecar/src/edge/request.rs
+++ b/crates/sidecar/src/edge/request.rs
@@ -1,4 +1,4 @@
-//! What the head of a request says.
+//! Validation of request heads.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,43 +6,43 @@
 use bytes::Bytes;
 use olivegate_http1::RequestHead;
 
-use crate::edge::local_response::OwnAnswer;
+use crate::edge::local_response::LocalResponse;
 use crate::model::Route;
 use crate::routes::RouteTable;
 use crate::wire_names::WireNames;
 
-/// Time that a request without one of its own may take.
-const DEFAULT_TIME: Duration = Duration::from_secs(30);
-/// Longest time that a request may ask for.
-const LONGEST_TIME: Duration = Duration::from_secs(3_600);
+/// Timeout of a request that states none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Longest timeout that a request may ask for.
+const MAX_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-/// A request whose head is in order.
-pub struct CheckedRequest {
-    /// Its id.
+/// A request with a valid head.
+pub struct ValidatedRequest {
+    /// Its request id.
     pub id: Bytes,
     /// Its route.
     pub route: Rc<Route>,
-    /// Time that it may take, by the client's word and the route's.
-    pub time: Duration,
-    /// Time that the sender will wait.
-    pub sender_time: Duration,
+    /// Timeout of the request: the smaller of the sender's and the route's.
+    pub timeout: Duration,
+    /// How long the sender will wait.
+    pub sender_timeout: Duration,
 }
 
-/// Checks the head of a request against the routes in force.
-pub fn check(
+/// Validates a request head and matches it to a route in force.
+pub fn validate(
     head: &RequestHead,
     routes: &RouteTable,
     wire_names: &WireNames,
-) -> Result<CheckedRequest, OwnAnswer> {
-    let rejected = |status, reason| OwnAnswer::Rejected { status, reason };
+) -> Result<ValidatedRequest, LocalResponse> {
+    let rejected = |status, reason| LocalResponse::Rejected { status, reason };
     let host = head.host().ok_or(rejected(400, "host-missing"))?;
     let id = head.fields.get(wire_names.request_id).ok_or(rejected(400, "request-id-missing"))?;
-    let own_time = match head.fields.text(wire_names.time_left_ms) {
+    let sender_timeout = match head.fields.text(wire_names.time_left_ms) {
         Some(text) => text.trim().parse().map_err(|_| rejected(400, "time-left-malformed"))?,
-        None => DEFAULT_TIME.as_millis() as u64,
+        None => DEFAULT_TIMEOUT.as_millis() as u64,
     };
     let route = routes.find(&host, head.path()).ok_or(rejected(404, "no-route"))?;
-    let own_time = Duration::from_millis(own_time).min(LONGEST_TIME);
-    let time = route.timeout.map_or(own_time, |timeout| timeout.duration().min(own_time));
-    Ok(CheckedRequest { id: id.clone(), route, time, sender_time: own_time })
+    let sender_timeout = Duration::from_millis(sender_timeout).min(MAX_TIMEOUT);
+    let timeout = route.timeout.map_or(sender_timeout, |timeout| timeout.duration().min(sender_timeout));
+    Ok(ValidatedRequest { id: id.clone(), route, timeout, sender_timeout })
 }
--- a/crates/sidecar/src/edge/request_assembly.rs
+++ b/crates/sidecar/src/edge/request_assembly.rs
@@ -1,4 +1,4 @@
-//! Takes a client's request from the pieces of its message.
+//! Assembles requests from the frames of a connection.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use futures::StreamExt;
@@ -7,111 +7,111 @@
 
 use crate::reply::{Body, BodyStream, IncompleteBody};
 
-/// A body up to this size is read whole before the request goes on.
-const WHOLE_BODY_BYTES: usize = 64 * 1024;
-/// Pieces of a longer body that may wait to be sent on.
-const BODY_PIECES: usize = 4;
+/// A body up to this size is buffered completely before the request is handled.
+const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
+/// Maximum number of chunks of a longer body that are queued for sending.
+const MAX_QUEUED_CHUNKS: usize = 4;
 
-/// Sender of a body's pieces; the body is whole when it is dropped. Whoever gives a request
-/// up drops the request before this sender.
-pub type PieceSender = mpsc::Sender<Result<Bytes, IncompleteBody>>;
+/// Sender of a body's chunks; dropping it marks the body as complete. Code that abandons a request must drop
+/// the request before this sender.
+pub type ChunkSender = mpsc::Sender<Result<Bytes, IncompleteBody>>;
 
-/// A request that can go on.
-pub struct TakenRequest {
-    /// Its head.
+/// A request that is ready to be handled.
+pub struct AssembledRequest {
+    /// The request head.
     pub head: RequestHead,
-    /// Its body, whole or still coming.
+    /// Its body, either complete or still arriving.
     pub body: Body,
 }
 
-/// State of reading one request after the other.
+/// State of assembling one request after the other.
 #[derive(Default)]
-pub enum Intake {
+pub enum RequestAssembler {
     /// Between requests.
     #[default]
     Idle,
-    /// Reading a body whole.
+    /// Buffering a body.
     Buffering {
-        /// The request's head.
+        /// The request head.
         head: RequestHead,
-        /// Length of its body, where that is known.
+        /// Length of the body, if known.
         length: Option<u64>,
-        /// What has been read.
+        /// The part of the body read so far.
         body: BytesMut,
     },
-    /// Handing on a longer body.
-    Feeding {
-        /// Where its pieces go; `None` when nobody wants them any more.
-        sender: Option<PieceSender>,
-        /// A piece that waits for room.
-        waiting: Option<Bytes>,
+    /// Passing on a longer body chunk by chunk.
+    Streaming {
+        /// Receives the chunks; `None` once the receiver is gone.
+        sender: Option<ChunkSender>,
+        /// A chunk that waits for space in the queue.
+        pending: Option<Bytes>,
     },
 }
 
-/// The pieces that arrive in `receiver`, as a body.
+/// The chunks from `receiver` as a body.
 pub fn body_stream(receiver: mpsc::Receiver<Result<Bytes, IncompleteBody>>) -> BodyStream {
     futures::stream::unfold(receiver, |mut receiver| async move {
-        receiver.recv().await.map(|piece| (piece, receiver))
+        receiver.recv().await.map(|chunk| (chunk, receiver))
     })
     .boxed_local()
 }
 
-impl Intake {
+impl RequestAssembler {
     /// True between requests.
     pub fn is_idle(&self) -> bool {
-        matches!(self, Intake::Idle)
+        matches!(self, RequestAssembler::Idle)
     }
 
-    /// True while a piece waits for room: nothing more may be read.
-    pub fn is_full(&self) -> bool {
-        matches!(self, Intake::Feeding { waiting: Some(_), .. })
+    /// True while a chunk waits for space in the queue; nothing more may be read then.
+    pub fn is_blocked(&self) -> bool {
+        matches!(self, RequestAssembler::Streaming { pending: Some(_), .. })
     }
 
-    /// Takes the next piece of a message; a request once it can go on.
-    pub fn accept(&mut self, frame: Frame<RequestHead>) -> Option<TakenRequest> {
+    /// Processes the next frame; returns the request once it can be handled.
+    pub fn accept(&mut self, frame: Frame<RequestHead>) -> Option<AssembledRequest> {
         match (std::mem::take(self), frame) {
-            (Intake::Idle, Frame::Head(head, length)) => {
+            (RequestAssembler::Idle, Frame::Head(head, length)) => {
                 let length = match length {
                     BodyLength::Known(length) => Some(length),
                     _ => None,
                 };
-                *self = Intake::Buffering { head, length, body: BytesMut::new() };
+                *self = RequestAssembler::Buffering { head, length, body: BytesMut::new() };
                 None
             }
-            (Intake::Buffering { head, body, .. }, Frame::End) => {
-                Some(TakenRequest { head, body: Body::Whole(body.freeze()) })
+            (RequestAssembler::Buffering { head, body, .. }, Frame::End) => {
+                Some(AssembledRequest { head, body: Body::Whole(body.freeze()) })
             }
-            (Intake::Buffering { head, length, mut body }, Frame::Data(data)) => {
+            (RequestAssembler::Buffering { head, length, mut body }, Frame::Data(data)) => {
                 body.put_slice(&data);
-                if body.len() <= WHOLE_BODY_BYTES {
-                    *self = Intake::Buffering { head, length, body };
+                if body.len() <= MAX_BUFFERED_BODY_BYTES {
+                    *self = RequestAssembler::Buffering { head, length, body };
                     return None;
                 }
-                let (sender, receiver) = mpsc::channel(BODY_PIECES);
-                *self = Intake::Feeding { sender: Some(sender), waiting: Some(body.freeze()) };
-                Some(TakenRequest { head, body: Body::Stream(body_stream(receiver), length) })
+                let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
+                *self = RequestAssembler::Streaming { sender: Some(sender), pending: Some(body.freeze()) };
+                Some(AssembledRequest { head, body: Body::Stream(body_stream(receiver), length) })
             }
-            (Intake::Feeding { sender, .. }, Frame::Data(data)) => {
-                let waiting = sender.is_some().then_some(data);
-                *self = Intake::Feeding { sender, waiting };
+            (RequestAssembler::Streaming { sender, .. }, Frame::Data(data)) => {
+                let pending = sender.is_some().then_some(data);
+                *self = RequestAssembler::Streaming { sender, pending };
                 None
             }
-            // The end of a longer body, and what can't follow here.
+            // The end of a longer body, and frames that are invalid in this state.
             _ => None,
         }
     }
 
-    /// Hands the piece that waits on; never ends when none waits.
-    pub async fn make_room(&mut self) {
-        let Intake::Feeding { sender: Some(feeding), waiting } = self else {
+    /// Passes on the waiting chunk; never completes when there is none.
+    pub async fn forward_pending(&mut self) {
+        let RequestAssembler::Streaming { sender: Some(sender), pending } = self else {
             return futures::future::pending().await;
         };
-        if let Ok(permit) = feeding.reserve().await {
-            if let Some(piece) = waiting.take() {
-                permit.send(Ok(piece));
+        if let Ok(permit) = sender.reserve().await {
+            if let Some(chunk) = pending.take() {
+                permit.send(Ok(chunk));
             }
             return;
         }
-        *self = Intake::Feeding { sender: None, waiting: None };
+        *self = RequestAssembler::Streaming { sender: None, pending: None };
     }
 }
--- a/crates/sidecar/src/edge/request_handler.rs
+++ b/crates/sidecar/src/edge/request_handler.rs
@@ -1,4 +1,5 @@
-//! Takes a request and gives its one answer: whose it is, whether it may begin, how it fared.
+//! Handles one request from arrival to its single response: classification, authentication, quota, admission
+//! and dispatch.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,12 +11,12 @@
 use olivegate_types::{Moment, RefusalReason};
 
 use crate::edge::admission;
-use crate::edge::call_context::RequestLineage;
+use crate::edge::call_context::CallContext;
 use crate::edge::dispatch::dispatch;
-use crate::edge::local_response::OwnAnswer;
-use crate::edge::outcome::{CancelLog, Outcome, log_answer, log_own_answer};
-use crate::edge::request::{self, CheckedRequest};
-use crate::edge::request_assembly::TakenRequest;
+use crate::edge::local_response::LocalResponse;
+use crate::edge::outcome::{CancellationLog, Outcome, log_local_response, log_response};
+use crate::edge::request::{self, ValidatedRequest};
+use crate::edge::request_assembly::AssembledRequest;
 use crate::edge::tenant_checks;
 use crate::lateness;
 use crate::lineage::{Arriving, ConnectionEvidence, Origin};
@@ -23,64 +24,68 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// When to come back to a node that knows no configuration yet.
+/// Retry-After while the node has no configuration yet.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Answers a request.
-pub async fn answer(node: &Rc<Node>, taken: TakenRequest, connection: &Cell<ConnectionEvidence>) -> Response {
+/// Handles a request and returns its response, either an instance's or the node's own.
+pub async fn handle(
+    node: &Rc<Node>,
+    assembled: AssembledRequest,
+    connection: &Cell<ConnectionEvidence>,
+) -> Response {
     let arrived = clock::now();
     lateness::sample(node, arrived);
-    let id = taken.head.fields.get(node.wire_names.request_id).cloned();
-    let shown_id = id.clone().unwrap_or_default();
-    let mut outcome = Outcome::begin(arrived);
-    let cancelling = CancelLog::begin(node, &shown_id, arrived);
-    let result = run(node, taken, connection, arrived, &mut outcome).await;
-    cancelling.answered();
+    let id = assembled.head.fields.get(node.wire_names.request_id).cloned();
+    let request_id = id.clone().unwrap_or_default();
+    let mut outcome = Outcome::new(arrived);
+    let cancellation_log = CancellationLog::new(node, &request_id, arrived);
+    let result = run(node, assembled, connection, arrived, &mut outcome).await;
+    cancellation_log.mark_answered();
     let elapsed = clock::now().since(arrived);
-    let answer = match result {
-        Ok(answer) => {
-            let result = if answer.head.status < 400 { "answered" } else { "instance-failed" };
+    let response = match result {
+        Ok(response) => {
+            let result = if response.head.status < 400 { "answered" } else { "instance-failed" };
             outcome.count(node, result, elapsed);
-            log_answer(node, &shown_id, &outcome, &answer, elapsed);
-            answer
+            log_response(node, &request_id, &outcome, &response, elapsed);
+            response
         }
-        Err(own) => {
-            outcome.count(node, own.reason(), elapsed);
-            log_own_answer(node, &shown_id, &outcome, own, elapsed);
-            own.to_answer(&node.wire_names, id.as_ref())
+        Err(local) => {
+            outcome.count(node, local.reason(), elapsed);
+            log_local_response(node, &request_id, &outcome, local, elapsed);
+            local.to_response(&node.wire_names, id.as_ref())
         }
     };
-    note_failed_call(node, &outcome, &answer);
-    answer
+    report_failed_call(node, &outcome, &response);
+    response
 }
 
-/// A call that failed makes its parent fail.
-fn note_failed_call(node: &Node, outcome: &Outcome, answer: &Response) {
+/// Records a failed call with its parent request, which is expected to fail in consequence.
+fn report_failed_call(node: &Node, outcome: &Outcome, response: &Response) {
     let Origin::Call(parent) = outcome.origin else { return };
-    if answer.head.status < 400 {
+    if response.head.status < 400 {
         return;
     }
     let fault =
-        if answer.fault == ResponseFault::Capacity { ResponseFault::Capacity } else { ResponseFault::Callee };
+        if response.fault == ResponseFault::Capacity { ResponseFault::Capacity } else { ResponseFault::Callee };
     node.lineage.borrow_mut().on_call_failed(parent, outcome.deadline, fault, clock::now());
 }
 
 async fn run(
     node: &Rc<Node>,
-    taken: TakenRequest,
+    assembled: AssembledRequest,
     connection: &Cell<ConnectionEvidence>,
     arrived: Moment,
     outcome: &mut Outcome,
-) -> Result<Response, OwnAnswer> {
+) -> Result<Response, LocalResponse> {
     let Some(routes) = node.routes() else {
         let reason = RefusalReason::NodeNotReady;
-        return Err(OwnAnswer::NotRun { reason, retry_after: UNCONFIGURED_RETRY_AFTER });
+        return Err(LocalResponse::NotRun { reason, retry_after: UNCONFIGURED_RETRY_AFTER });
     };
-    let request = request::check(&taken.head, &routes, &node.wire_names)?;
+    let request = request::validate(&assembled.head, &routes, &node.wire_names)?;
     let route = request.route.clone();
     outcome.route = Some(route.clone());
-    outcome.deadline = arrived + request.sender_time;
-    let key = taken.head.fields.get(node.wire_names.credential).cloned();
+    outcome.deadline = arrived + request.sender_timeout;
+    let key = assembled.head.fields.get(node.wire_names.credential).cloned();
     let arriving = Arriving {
         id: &request.id,
         route: &route.name,
@@ -88,38 +93,38 @@
         is_keyed: key.is_some() && node.access.has_tenants(),
     };
     outcome.origin = node.lineage.borrow_mut().classify(arriving, connection, arrived);
-    outcome.tenant = tenant_checks::tenant_of(node, key.as_deref(), &route, arrived)?;
-    let place = tenant_checks::take_place(node, outcome.tenant.as_deref(), arrived)?;
-    let result = begin(node, taken, request, arrived, outcome).await;
-    if let (Some(place), Err(OwnAnswer::NotRun { .. })) = (place, &result) {
-        node.access.give_back(place, clock::now());
+    outcome.tenant = tenant_checks::authenticate(node, key.as_deref(), &route, arrived)?;
+    let reservation = tenant_checks::reserve_quota(node, outcome.tenant.as_deref(), arrived)?;
+    let result = admit_and_dispatch(node, assembled, request, arrived, outcome).await;
+    if let (Some(reservation), Err(LocalResponse::NotRun { .. })) = (reservation, &result) {
+        node.access.release_quota(reservation, clock::now());
     }
     result
 }
 
-/// Lets a request begin and carries it through.
-async fn begin(
+/// Admits a request and dispatches it.
+async fn admit_and_dispatch(
     node: &Rc<Node>,
-    taken: TakenRequest,
-    request: CheckedRequest,
+    assembled: AssembledRequest,
+    request: ValidatedRequest,
     arrived: Moment,
     outcome: &mut Outcome,
-) -> Result<Response, OwnAnswer> {
+) -> Result<Response, LocalResponse> {
     let route = request.route.clone();
     let tenant = outcome.tenant.as_deref();
-    let lineage = match outcome.origin {
+    let context = match outcome.origin {
         Origin::Client => {
             let priority = tenant.and_then(|tenant| tenant.priority);
-            RequestLineage::of_client(admission::admit(node, &route, priority, arrived)?)
+            CallContext::for_client(admission::admit(node, &route, priority, arrived)?)
         }
-        Origin::Call(parent) => RequestLineage::of_call(node, &route, parent),
+        Origin::Call(parent) => CallContext::for_call(node, &route, parent),
     };
-    let head = forwarded_head(node, taken.head, tenant);
-    dispatch(node, head, taken.body, request, lineage, arrived, &mut outcome.trail).await
+    let head = forwarded_head(node, assembled.head, tenant);
+    dispatch(node, head, assembled.body, request, context, arrived, &mut outcome.attempt_log).await
 }
 
-/// The head as every instance is to get it: without the client's key, and with the name of the
-/// tenant that holds it, whatever the client wrote there.
+/// The request head that is forwarded to the instance: without the client's key, and with the name of the
+/// authenticated tenant in place of any name that the client sent.
 fn forwarded_head(node: &Node, mut head: RequestHead, tenant: Option<&Tenant>) -> RequestHead {
     head.fields.remove_connection_fields();
     head.fields.remove("expect");
--- a/crates/sidecar/tests/decisions/attempts.rs
+++ b/crates/sidecar/tests/decisions/attempts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use olivegate_sidecar::edge::attempts::{Attempts, Next, Verdict};
+use olivegate_sidecar::edge::attempts::{Attempts, FinalFailure, NextStep};
 use olivegate_sidecar::model::RetrySafety::{self, Safe, Unsafe};
 use olivegate_sidecar::reply::{Failure, FailureReason};
 use olivegate_types::{InstanceName, Refusal, RefusalReason};
@@ -19,11 +19,11 @@
 }
 
 #[rstest]
-#[case::safe_may_run_twice(Safe, Failure::unknown(FailureReason::Broken), Next::TryAnother)]
-#[case::unsafe_may_not(Unsafe, Failure::unknown(FailureReason::Broken), Next::GiveUp(Verdict::Unknown))]
-#[case::not_run_is_sure(Unsafe, Failure::not_run(FailureReason::WrongInstance), Next::TryAnother)]
-#[case::not_sent_is_free(Unsafe, Failure::not_sent(FailureReason::Connect), Next::TryAnother)]
-fn after_a_failure(#[case] safety: RetrySafety, #[case] failure: Failure, #[case] next: Next) {
+#[case::safe_may_run_twice(Safe, Failure::unknown(FailureReason::Broken), NextStep::TryAnother)]
+#[case::unsafe_may_not(Unsafe, Failure::unknown(FailureReason::Broken), NextStep::GiveUp(FinalFailure::Unknown))]
+#[case::not_run_is_sure(Unsafe, Failure::not_run(FailureReason::WrongInstance), NextStep::TryAnother)]
+#[case::not_sent_is_free(Unsafe, Failure::not_sent(FailureReason::Connect), NextStep::TryAnother)]
+fn after_a_failure(#[case] safety: RetrySafety, #[case] failure: Failure, #[case] next: NextStep) {
     assert_eq!(Attempts::new(safety, 2).on_failed(failure), next);
 }
 
@@ -31,12 +31,12 @@
 fn without_a_repeat_left_the_verdict_follows_what_is_sure() {
     let mut may_have_run = Attempts::new(Safe, 2);
     may_have_run.on_failed(Failure::unknown(FailureReason::Broken));
-    assert_eq!(may_have_run.on_refused(no_repeat()), Next::TryAnother, "another gate may have one");
-    assert_eq!(may_have_run.on_refused(no_repeat()), Next::GiveUp(Verdict::Unknown));
+    assert_eq!(may_have_run.on_refused(no_repeat()), NextStep::TryAnother, "another gate may have one");
+    assert_eq!(may_have_run.on_refused(no_repeat()), NextStep::GiveUp(FinalFailure::Unknown));
     let mut not_run = Attempts::new(Unsafe, 2);
     not_run.on_failed(Failure::not_run(FailureReason::RefusedByInstance));
     not_run.on_refused(no_repeat());
-    assert!(matches!(not_run.on_refused(no_repeat()), Next::GiveUp(Verdict::NotRun(_))));
+    assert!(matches!(not_run.on_refused(no_repeat()), NextStep::GiveUp(FinalFailure::NotRun(_))));
 }
 
 #[rstest]
@@ -44,7 +44,7 @@
     let mut attempts = Attempts::new(Safe, 3);
     attempts.on_failed(Failure::unknown(FailureReason::GateSilent));
     attempts.on_refused(refusal());
-    assert_eq!(attempts.on_no_candidate(), Verdict::Unknown);
+    assert_eq!(attempts.on_no_candidate(), FinalFailure::Unknown);
 }
 
 #[rstest]
@@ -54,16 +54,16 @@
     attempts.on_refused(leaving);
     attempts.on_refused(refusal());
     attempts.on_refused(leaving);
-    assert_eq!(attempts.on_no_candidate(), Verdict::NotRun(refusal()));
-    assert_eq!(attempts.trail(), "none:node-not-ready,none:predicted-wait,none:node-not-ready");
+    assert_eq!(attempts.on_no_candidate(), FinalFailure::NotRun(refusal()));
+    assert_eq!(attempts.attempt_log(), "none:node-not-ready,none:predicted-wait,none:node-not-ready");
 }
 
 #[rstest]
 fn a_request_is_not_offered_to_many_full_instances() {
     let mut attempts = Attempts::new(Safe, 2);
-    let nexts: Vec<Next> = (0..4).map(|_| attempts.on_refused(refusal())).collect();
-    assert_eq!(nexts[..3], [Next::TryAnother; 3]);
-    assert_eq!(nexts[3], Next::GiveUp(Verdict::NotRun(refusal())));
+    let nexts: Vec<NextStep> = (0..4).map(|_| attempts.on_refused(refusal())).collect();
+    assert_eq!(nexts[..3], [NextStep::TryAnother; 3]);
+    assert_eq!(nexts[3], NextStep::GiveUp(FinalFailure::NotRun(refusal())));
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -99,7 +99,7 @@
         for (index, step) in steps.into_iter().enumerate() {
             let first = choices[index];
             let names = (0..5).map(|offset| InstanceName::new(format!("i-{}", (first + offset) % 5)));
-            let Some(instance) = names.into_iter().find(|name| attempts.may_go_to(name)) else { break };
+            let Some(instance) = names.into_iter().find(|name| attempts.may_offer_to(name)) else { break };
             attempts.on_offer(&instance);
             let granted = grants >> (index % 16) & 1 == 1;
             let next = match step {
@@ -121,13 +121,13 @@
                 }
             };
             prop_assert!(reached.len() <= most && arrivals <= 6);
-            if let Next::GiveUp(given) = next {
+            if let NextStep::GiveUp(given) = next {
                 verdict = Some(given);
                 break;
             }
         }
         let verdict = verdict.unwrap_or_else(|| attempts.on_no_candidate());
-        prop_assert_eq!(matches!(verdict, Verdict::Unknown), may_have_run);
+        prop_assert_eq!(matches!(verdict, FinalFailure::Unknown), may_have_run);
     }
 }
 
@@ -136,12 +136,12 @@
     let silent = Failure { reason: FailureReason::GateSilent, may_have_run: true, arrived: false };
     let mut attempts = Attempts::new(Safe, 2);
     attempts.on_offer(&InstanceName::new("i-1"));
-    assert_eq!(attempts.on_failed(silent), Next::TryAnother);
+    assert_eq!(attempts.on_failed(silent), NextStep::TryAnother);
     attempts.on_offer(&InstanceName::new("i-2"));
-    assert_eq!(attempts.on_failed(silent), Next::GiveUp(Verdict::Unknown));
+    assert_eq!(attempts.on_failed(silent), NextStep::GiveUp(FinalFailure::Unknown));
     let mut attempts = Attempts::new(Safe, 2);
-    assert_eq!(attempts.on_instance_failed(), Next::TryAnother);
-    assert_eq!(attempts.on_failed(silent), Next::GiveUp(Verdict::Unknown));
+    assert_eq!(attempts.on_instance_failed(), NextStep::TryAnother);
+    assert_eq!(attempts.on_failed(silent), NextStep::GiveUp(FinalFailure::Unknown));
 }
 
 /// Instances that shed refuse by chance: what two of them refused goes to them again, and to no
@@ -152,15 +152,15 @@
     let shed = Failure::not_run(FailureReason::RefusedByInstance);
     let mut attempts = Attempts::new(Unsafe, 2);
     attempts.on_offer(&left);
-    assert_eq!(attempts.on_failed(shed), Next::TryAnother);
-    assert!(!attempts.may_go_to(&left) && attempts.may_go_to(&right));
+    assert_eq!(attempts.on_failed(shed), NextStep::TryAnother);
+    assert!(!attempts.may_offer_to(&left) && attempts.may_offer_to(&right));
     attempts.on_offer(&right);
     for _ in 2..6 {
-        assert_eq!(attempts.on_failed(shed), Next::TryAnother);
-        assert!(attempts.may_go_to(&left) && attempts.may_go_to(&right) && !attempts.may_go_to(&third));
+        assert_eq!(attempts.on_failed(shed), NextStep::TryAnother);
+        assert!(attempts.may_offer_to(&left) && attempts.may_offer_to(&right) && !attempts.may_offer_to(&third));
         attempts.on_offer(&right);
     }
-    assert!(matches!(attempts.on_failed(shed), Next::GiveUp(Verdict::NotRun(_))));
+    assert!(matches!(attempts.on_failed(shed), NextStep::GiveUp(FinalFailure::NotRun(_))));
 }
 
 /// An instance that leaves, or is another one, is not asked again.
@@ -172,6 +172,6 @@
     attempts.on_failed(Failure::not_run(FailureReason::WrongInstance));
     attempts.on_offer(&right);
     let next = attempts.on_failed(Failure::not_run(FailureReason::WrongInstance));
-    assert!(matches!(next, Next::GiveUp(Verdict::NotRun(_))));
-    assert!(!attempts.may_go_to(&left) && !attempts.may_go_to(&right));
+    assert!(matches!(next, NextStep::GiveUp(FinalFailure::NotRun(_))));
+    assert!(!attempts.may_offer_to(&left) && !attempts.may_offer_to(&right));
 }
