--- a/crates/sidecar/src/edge/request_handler.rs
+++ b/crates/sidecar/src/edge/request_handler.rs
@@ -19,7 +19,7 @@
 use crate::edge::request_assembly::AssembledRequest;
 use crate::edge::tenant_checks;
 use crate::lateness;
-use crate::lineage::{Arriving, ConnectionEvidence, Origin};
+use crate::lineage::{ArrivingRequest, ConnectionEvidence, Origin};
 use crate::reply::{Response, ResponseFault};
 use crate::state::Node;
 use olivegate_clock as clock;
@@ -86,11 +86,11 @@
     outcome.route = Some(route.clone());
     outcome.deadline = arrived + request.sender_timeout;
     let key = assembled.head.fields.get(node.wire_names.credential).cloned();
-    let arriving = Arriving {
+    let arriving = ArrivingRequest {
         id: &request.id,
         route: &route.name,
         deadline: outcome.deadline,
-        is_keyed: key.is_some() && node.access.has_tenants(),
+        has_key: key.is_some() && node.access.has_tenants(),
     };
     outcome.origin = node.lineage.borrow_mut().classify(arriving, connection, arrived);
     outcome.tenant = tenant_checks::authenticate(node, key.as_deref(), &route, arrived)?;
--- a/crates/sidecar/src/lineage/evidence.rs
+++ b/crates/sidecar/src/lineage/evidence.rs
@@ -1,97 +1,98 @@
-//! What is known about connections and routes: do they carry calls or clients' requests?
+//! Evidence on whether connections and routes carry calls of the instance or requests of clients.
 
-/// Points for a request whose id extends the id of a running one.
-const NESTED_POINTS: i16 = 4;
-/// Points for a request whose deadline is that of a running one.
-const SAME_DEADLINE_POINTS: i16 = 2;
-/// Points for a request that some running one could have made.
-const POSSIBLE_POINTS: i16 = 1;
-/// Points for a request that no running one can have made, since it outlasts them all.
-const IMPOSSIBLE_POINTS: i16 = -8;
-/// Points from which on a connection counts as the instance's.
-const INSTANCE_FROM: i16 = 8;
-/// Bound of the points either way, so that a mistake is forgotten in the end.
-const MOST_POINTS: i16 = 80;
-/// Weight of one request in a route's share of calls.
+/// Score of a request whose id extends the id of a running request.
+const NESTED_ID_SCORE: i16 = 4;
+/// Score of a request with the same deadline as a running request.
+const SAME_DEADLINE_SCORE: i16 = 2;
+/// Score of a request that a running request could have made.
+const POSSIBLE_SCORE: i16 = 1;
+/// Score of a request that no running request can have made, because its deadline is later than all of
+/// theirs.
+const IMPOSSIBLE_SCORE: i16 = -8;
+/// Score from which a connection is taken to be the instance's.
+const MIN_INSTANCE_SCORE: i16 = 8;
+/// Limit of the score in either direction, so that a wrong classification can be corrected later.
+const MAX_SCORE: i16 = 80;
+/// Weight of one request in the moving average of a route's fraction of calls.
 const ROUTE_WEIGHT: f64 = 0.02;
-/// Share of calls from which on a route is one of calls.
-const CALL_ROUTE_SHARE: f64 = 0.5;
+/// Fraction of calls from which a route is taken to be a call route.
+const CALL_ROUTE_FRACTION: f64 = 0.5;
 
-/// What one request shows, taken by itself.
+/// What one request by itself indicates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
-    /// Its id extends the id of a running request that it does not outlast.
+pub enum RequestEvidence {
+    /// Its id extends the id of a running request, and its deadline is not later.
     NestedId,
-    /// Its deadline is that of a running request.
+    /// It has the same deadline as a running request.
     SameDeadline,
     /// A running request could have made it.
     Possible,
-    /// It outlasts every running request: a call never does.
+    /// Its deadline is later than that of every running request, which is never true of a call.
     Impossible,
-    /// It carries a key: calls carry none.
+    /// It carries an API key; calls carry none.
     Keyed,
 }
 
-/// Whose connection it is.
+/// Which side a connection belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// The instance's: it carries calls.
+pub enum ConnectionOwner {
+    /// It belongs to the instance and carries calls.
     Instance,
-    /// A client's.
+    /// It belongs to a client.
     Client,
     /// Not known yet.
-    Unsettled,
+    Unknown,
 }
 
-/// What the requests of one connection have shown. Clients and the instance never share a
-/// connection, so each of its requests tells something about the others.
+/// Evidence from the requests of one connection. Clients and the instance never share a connection, so each
+/// request is evidence about the others.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConnectionEvidence {
-    points: i16,
+    score: i16,
 }
 
 impl ConnectionEvidence {
-    /// Notes one request.
-    pub fn note(&mut self, sign: Sign) {
-        let points = match sign {
-            Sign::NestedId => NESTED_POINTS,
-            Sign::SameDeadline => SAME_DEADLINE_POINTS,
-            Sign::Possible => POSSIBLE_POINTS,
-            Sign::Impossible => IMPOSSIBLE_POINTS,
-            Sign::Keyed => -2 * MOST_POINTS,
+    /// Adds the evidence of one request.
+    pub fn add(&mut self, evidence: RequestEvidence) {
+        let score = match evidence {
+            RequestEvidence::NestedId => NESTED_ID_SCORE,
+            RequestEvidence::SameDeadline => SAME_DEADLINE_SCORE,
+            RequestEvidence::Possible => POSSIBLE_SCORE,
+            RequestEvidence::Impossible => IMPOSSIBLE_SCORE,
+            RequestEvidence::Keyed => -2 * MAX_SCORE,
         };
-        self.points = (self.points + points).clamp(-MOST_POINTS, MOST_POINTS);
+        self.score = (self.score + score).clamp(-MAX_SCORE, MAX_SCORE);
     }
 
-    /// Whose connection it is, as far as is known.
-    pub fn standing(self) -> Standing {
-        match self.points {
-            INSTANCE_FROM.. => Standing::Instance,
-            ..0 => Standing::Client,
-            _ => Standing::Unsettled,
+    /// The side that the connection belongs to, according to the evidence so far.
+    pub fn owner(self) -> ConnectionOwner {
+        match self.score {
+            MIN_INSTANCE_SCORE.. => ConnectionOwner::Instance,
+            ..0 => ConnectionOwner::Client,
+            _ => ConnectionOwner::Unknown,
         }
     }
 }
 
-/// Share of a route's requests that are calls.
+/// Evidence on whether a route carries calls.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteEvidence {
-    share: f64,
+    call_fraction: f64,
 }
 
 impl RouteEvidence {
-    /// Evidence that begins with one request.
-    pub fn first(is_call: bool) -> Self {
-        RouteEvidence { share: f64::from(u8::from(is_call)) }
+    /// Creates the evidence from a first request.
+    pub fn new(is_call: bool) -> Self {
+        RouteEvidence { call_fraction: f64::from(u8::from(is_call)) }
     }
 
-    /// Notes one more request.
-    pub fn note(&mut self, is_call: bool) {
-        self.share += (f64::from(u8::from(is_call)) - self.share) * ROUTE_WEIGHT;
+    /// Adds the evidence of one more request.
+    pub fn add(&mut self, is_call: bool) {
+        self.call_fraction += (f64::from(u8::from(is_call)) - self.call_fraction) * ROUTE_WEIGHT;
     }
 
     /// True when most of its requests are calls.
     pub fn is_call_route(self) -> bool {
-        self.share >= CALL_ROUTE_SHARE
+        self.call_fraction >= CALL_ROUTE_FRACTION
     }
 }
--- a/crates/sidecar/tests/decisions/lineage.rs
+++ b/crates/sidecar/tests/decisions/lineage.rs
@@ -1,5 +1,5 @@
-//! Calls told from clients' requests, their parents, and what failures are put down to, against
-//! an emulated instance that records which request made each call.
+//! Tests of call lineage: telling calls from clients' requests, finding the parents of calls, and attributing
+//! failures, against a simulated instance that records which request made each call.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use olivegate_sidecar::gate_protocol::RootRequest;
 use olivegate_sidecar::lineage::{
-    Arriving, ConnectionEvidence, Lineage, Origin, Parent, RunningKey, RunningRequest, Standing,
+    ArrivingRequest, ConnectionEvidence, ConnectionOwner, Lineage, Origin, Parent, RunningKey, RunningRequest,
 };
 use olivegate_sidecar::reply::ResponseFault;
 use olivegate_types::{Importance, Moment, SheddingRank};
@@ -36,84 +36,84 @@
     }
 }
 
-fn arriving<'a>(id: &'a str, route: &'a str, deadline: u64) -> Arriving<'a> {
-    Arriving { id: id.as_bytes(), route, deadline: at(deadline), is_keyed: false }
+fn arriving<'a>(id: &'a str, route: &'a str, deadline: u64) -> ArrivingRequest<'a> {
+    ArrivingRequest { id: id.as_bytes(), route, deadline: at(deadline), has_key: false }
 }
 
-/// How the emulated callers write ids.
+/// How the simulated callers choose request ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ids {
+enum IdScheme {
     /// A call's id extends that of its parent.
     Nested,
-    /// An id tells nothing.
+    /// Ids are unrelated.
     Opaque,
 }
 
-/// One kind of request that the instance runs.
+/// One kind of request that the instance runs. All times are in milliseconds.
 #[derive(Debug, Clone, Copy)]
-struct Kind {
+struct RequestKind {
     route: &'static str,
-    /// Time that the instance has for it, in milliseconds.
-    limit: u64,
-    runs_for: u64,
-    every: u64,
+    /// Time that the instance has for the request.
+    timeout: u64,
+    run_time: u64,
+    mean_interval: u64,
     calls: u64,
-    /// Limit of each of its calls by itself, in milliseconds.
-    call_limit: u64,
+    /// Timeout of each of its calls, unless the parent's deadline is earlier.
+    call_timeout: u64,
     call_route: &'static str,
 }
 
-const SHORT: Kind = Kind {
+const SHORT: RequestKind = RequestKind {
     route: "credit",
-    limit: 785,
-    runs_for: 240,
-    every: 40,
+    timeout: 785,
+    run_time: 240,
+    mean_interval: 40,
     calls: 2,
-    call_limit: 2_000,
+    call_timeout: 2_000,
     call_route: "fetch",
 };
-const LONG: Kind = Kind {
+const LONG: RequestKind = RequestKind {
     route: "check",
-    limit: 2_485,
-    runs_for: 120,
-    every: 30,
+    timeout: 2_485,
+    run_time: 120,
+    mean_interval: 30,
     calls: 1,
-    call_limit: 2_000,
+    call_timeout: 2_000,
     call_route: "fetch",
 };
-/// Kinds of clients' requests beside the instance: route, limit, part.
+/// Kinds of requests that clients send: route, timeout, fraction.
 const CLIENTS: [(&str, u64, f64); 3] = [("check", 5_000, 0.6), ("pull", 1_200, 0.2), ("token", 1_000, 0.2)];
 
-/// What became of the requests of one sort.
+/// How requests of one sort were classified.
 #[derive(Debug, Default)]
-struct Told {
-    right: u32,
+struct Classified {
+    correct: u32,
     wrong: u32,
     unknown: u32,
 }
 
-impl Told {
-    fn part(&self, count: u32) -> f64 {
-        f64::from(count) / f64::from((self.right + self.wrong + self.unknown).max(1))
+impl Classified {
+    fn fraction(&self, count: u32) -> f64 {
+        f64::from(count) / f64::from((self.correct + self.wrong + self.unknown).max(1))
     }
 }
 
-struct Parents {
+struct SimulatedParent {
     key: RunningKey,
     id: String,
-    kind: Kind,
-    began: u64,
+    kind: RequestKind,
+    started: u64,
 }
 
-/// Plays `millis` of an instance that runs `kinds`, with clients beside it, and tells how calls
-/// and clients' requests were told after the first second.
-fn play(kinds: &[Kind], ids: Ids, seed: u64, millis: u64) -> (Told, Told) {
+/// Simulates `millis` of an instance that runs `kinds` while clients send requests, and counts how calls and
+/// clients' requests were classified after the first second.
+fn simulate(kinds: &[RequestKind], id_scheme: IdScheme, seed: u64, millis: u64) -> (Classified, Classified) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut lineage = Lineage::default();
     let instance: Vec<Cell<ConnectionEvidence>> = (0..6).map(|_| Cell::default()).collect();
     let mut clients: Vec<Cell<ConnectionEvidence>> = (0..6).map(|_| Cell::default()).collect();
-    let mut parents: Vec<Parents> = Vec::new();
-    let (mut calls, mut others) = (Told::default(), Told::default());
+    let mut parents: Vec<SimulatedParent> = Vec::new();
+    let (mut calls, mut client_requests) = (Classified::default(), Classified::default());
     let mut next_id = 0_u64;
     let mut id_of = |random: &mut SmallRng| {
         next_id += 1;
@@ -121,35 +121,35 @@
     };
     for now in 0..millis {
         for kind in kinds {
-            if random.random_range(0..kind.every) == 0 {
+            if random.random_range(0..kind.mean_interval) == 0 {
                 let id = id_of(&mut random);
-                let deadline = now + kind.limit;
+                let deadline = now + kind.timeout;
                 let key = lineage.begin(running(&id, kind.route, deadline, 0.0));
-                parents.push(Parents { key, id, kind: *kind, began: now });
+                parents.push(SimulatedParent { key, id, kind: *kind, started: now });
             }
         }
         for parent in &parents {
-            let gap = parent.kind.runs_for / (parent.kind.calls + 1);
-            let age = now - parent.began;
+            let gap = parent.kind.run_time / (parent.kind.calls + 1);
+            let age = now - parent.started;
             if age == 0 || !age.is_multiple_of(gap) || age / gap > parent.kind.calls {
                 continue;
             }
-            let id = match ids {
-                Ids::Nested => format!("{}.{}", parent.id, id_of(&mut random)),
-                Ids::Opaque => id_of(&mut random),
+            let id = match id_scheme {
+                IdScheme::Nested => format!("{}.{}", parent.id, id_of(&mut random)),
+                IdScheme::Opaque => id_of(&mut random),
             };
-            let deadline = (now + parent.kind.call_limit).min(parent.began + parent.kind.limit);
+            let deadline = (now + parent.kind.call_timeout).min(parent.started + parent.kind.timeout);
             let connection = &instance[random.random_range(0..instance.len())];
             let origin = lineage.classify(arriving(&id, parent.kind.call_route, deadline), connection, at(now));
             if now < 1_000 {
                 continue;
             }
             match origin {
-                Origin::Call(Parent::Sure(key)) if key == parent.key => calls.right += 1,
+                Origin::Call(Parent::Certain(key)) if key == parent.key => calls.correct += 1,
                 Origin::Call(Parent::Probable(key))
                     if lineage.request(key).is_some_and(|request| request.root.route == parent.kind.route) =>
                 {
-                    calls.right += 1;
+                    calls.correct += 1;
                 }
                 Origin::Call(Parent::Unknown) => calls.unknown += 1,
                 Origin::Call(_) | Origin::Client => calls.wrong += 1,
@@ -157,68 +157,68 @@
         }
         if random.random_range(0..40) == 0 {
             let draw: f64 = random.random();
-            let mut below = 0.0;
-            let drawn = CLIENTS.iter().find(|(_, _, part)| {
-                below += part;
-                draw < below
+            let mut cumulative = 0.0;
+            let drawn = CLIENTS.iter().find(|(_, _, fraction)| {
+                cumulative += fraction;
+                draw < cumulative
             });
-            let (route, limit, _) = *drawn.unwrap_or(&CLIENTS[0]);
+            let (route, timeout, _) = *drawn.unwrap_or(&CLIENTS[0]);
             let index = random.random_range(0..clients.len());
-            // Clients come and go.
+            // A client opens a new connection now and then.
             if random.random_range(0..6) == 0 {
                 clients[index] = Cell::default();
             }
             let id = id_of(&mut random);
-            let origin = lineage.classify(arriving(&id, route, now + limit), &clients[index], at(now));
+            let origin = lineage.classify(arriving(&id, route, now + timeout), &clients[index], at(now));
             if now >= 1_000 {
                 match origin {
-                    Origin::Client => others.right += 1,
-                    Origin::Call(_) => others.wrong += 1,
+                    Origin::Client => client_requests.correct += 1,
+                    Origin::Call(_) => client_requests.wrong += 1,
                 }
             }
         }
         parents.retain(|parent| {
-            let ends = now - parent.began >= parent.kind.runs_for;
+            let ends = now - parent.started >= parent.kind.run_time;
             if ends {
                 lineage.end(parent.key, at(now));
             }
             !ends
         });
     }
-    (calls, others)
+    (calls, client_requests)
 }
 
 #[rstest]
-#[case::one_kind_nested(&[SHORT], Ids::Nested, 0.001, 0.001, 0.01)]
-#[case::two_kinds_nested(&[SHORT, LONG], Ids::Nested, 0.001, 0.001, 0.01)]
-#[case::one_kind_opaque(&[SHORT], Ids::Opaque, 0.02, 0.05, 0.05)]
-#[case::own_limits_opaque(&[LONG], Ids::Opaque, 0.02, 0.05, 0.05)]
-#[case::two_kinds_opaque(&[SHORT, LONG], Ids::Opaque, 0.10, 0.10, 0.05)]
+#[case::one_kind_nested(&[SHORT], IdScheme::Nested, 0.001, 0.001, 0.01)]
+#[case::two_kinds_nested(&[SHORT, LONG], IdScheme::Nested, 0.001, 0.001, 0.01)]
+#[case::one_kind_opaque(&[SHORT], IdScheme::Opaque, 0.02, 0.05, 0.05)]
+#[case::own_timeouts_opaque(&[LONG], IdScheme::Opaque, 0.02, 0.05, 0.05)]
+#[case::two_kinds_opaque(&[SHORT, LONG], IdScheme::Opaque, 0.10, 0.10, 0.05)]
 fn calls_are_told_from_clients_requests(
-    #[case] kinds: &[Kind],
-    #[case] ids: Ids,
-    #[case] most_wrong: f64,
-    #[case] most_unknown: f64,
-    #[case] most_clients_wrong: f64,
+    #[case] kinds: &[RequestKind],
+    #[case] id_scheme: IdScheme,
+    #[case] max_wrong: f64,
+    #[case] max_unknown: f64,
+    #[case] max_clients_wrong: f64,
 ) {
     for seed in 1..=5 {
-        let (calls, clients) = play(kinds, ids, seed, 20_000);
+        let (calls, clients) = simulate(kinds, id_scheme, seed, 20_000);
         println!(
-            "{ids:?} seed {seed}: calls right {:.3} wrong {:.3} unknown {:.3}; clients right {:.3} wrong {:.3}",
-            calls.part(calls.right),
-            calls.part(calls.wrong),
-            calls.part(calls.unknown),
-            clients.part(clients.right),
-            clients.part(clients.wrong),
+            "{id_scheme:?} seed {seed}: calls correct {:.3} wrong {:.3} unknown {:.3}; clients correct {:.3} wrong {:.3}",
+            calls.fraction(calls.correct),
+            calls.fraction(calls.wrong),
+            calls.fraction(calls.unknown),
+            clients.fraction(clients.correct),
+            clients.fraction(clients.wrong),
         );
-        assert!(calls.part(calls.wrong) <= most_wrong, "seed {seed}: {calls:?}");
-        assert!(calls.part(calls.unknown) <= most_unknown, "seed {seed}: {calls:?}");
-        assert!(clients.part(clients.wrong) <= most_clients_wrong, "seed {seed}: {clients:?}");
+        assert!(calls.fraction(calls.wrong) <= max_wrong, "seed {seed}: {calls:?}");
+        assert!(calls.fraction(calls.unknown) <= max_unknown, "seed {seed}: {calls:?}");
+        assert!(clients.fraction(clients.wrong) <= max_clients_wrong, "seed {seed}: {clients:?}");
     }
 }
 
 #[rstest]
-fn a_forged_id_wins_nothing_on_a_route_of_clients() {
+fn a_forged_id_is_not_taken_for_a_call_on_a_client_route() {
     let mut lineage = Lineage::default();
     let connection = Cell::default();
     for number in 0..50_u64 {
@@ -226,41 +226,42 @@
         lineage.classify(arriving(&format!("c{number}"), "check", now + 5_000), &connection, at(now));
     }
     lineage.begin(running("victim", "credit", 5_400, 0.0));
-    // On a connection of its own that shows nothing yet, and on one that is known.
+    // On a new connection without evidence, and on a known client's connection.
     let fresh = Cell::default();
     assert_eq!(lineage.classify(arriving("victim.1", "check", 5_300), &fresh, at(500)), Origin::Client);
     assert_eq!(lineage.classify(arriving("victim.2", "check", 5_300), &connection, at(500)), Origin::Client);
 }
 
 #[rstest]
-fn an_id_that_extends_a_running_one_is_no_call_when_it_outlasts_it() {
+fn an_id_that_extends_a_running_one_is_not_a_call_when_its_deadline_is_later() {
     let mut lineage = Lineage::default();
     lineage.begin(running("parent", "credit", 1_000, 0.0));
     let connection = Cell::default();
     assert_eq!(lineage.classify(arriving("parent.1", "fetch", 5_000), &connection, at(0)), Origin::Client);
-    assert_eq!(connection.get().standing(), Standing::Client);
+    assert_eq!(connection.get().owner(), ConnectionOwner::Client);
     assert_eq!(lineage.classify(arriving("parentage", "fetch", 900), &Cell::default(), at(0)), Origin::Client);
 }
 
-/// A process that stood still dates the call by its reading, its parent by its begin.
+/// A process that was stalled counts the timeout of a call from when it reads the call, and that of its
+/// parent from the start of the run, so the call's deadline appears too late.
 #[rstest]
-#[case::as_soon_as_it_came(0)]
-#[case::a_moment_later(100)]
-#[case::as_late_as_a_starved_process_reads(450)]
+#[case::immediately(0)]
+#[case::slightly_late(100)]
+#[case::as_late_as_a_stalled_process_reads(450)]
 fn a_call_that_is_read_late_has_the_parent_that_its_id_names(#[case] late: u64) {
     let mut lineage = Lineage::default();
     let parent = lineage.begin(running("parent", "credit", 1_000, 0.0));
     let connection = Cell::default();
     let origin = lineage.classify(arriving("parent.1", "fetch", 1_000 + late), &connection, at(late));
-    assert_eq!(origin, Origin::Call(Parent::Sure(parent)));
+    assert_eq!(origin, Origin::Call(Parent::Certain(parent)));
 }
 
-/// The first call of a new connection, by a route of calls and under an id that tells nothing.
+/// The first call on a new connection, on a call route and with an id unrelated to its parent's.
 #[rstest]
-#[case::as_soon_as_it_came(0)]
-#[case::a_moment_later(100)]
-#[case::as_late_as_a_starved_process_reads(450)]
-fn a_call_that_is_read_late_is_none_of_a_client_on_a_route_of_calls(#[case] late: u64) {
+#[case::immediately(0)]
+#[case::slightly_late(100)]
+#[case::as_late_as_a_stalled_process_reads(450)]
+fn a_call_that_is_read_late_on_a_call_route_is_not_taken_for_a_clients_request(#[case] late: u64) {
     let mut lineage = Lineage::default();
     let known = Cell::default();
     for number in 0..50_u64 {
@@ -272,7 +273,7 @@
     let connection = Cell::default();
     let origin = lineage.classify(arriving("x", "fetch", 2_000 + late), &connection, at(1_000 + late));
     assert_eq!(origin, Origin::Call(Parent::Probable(parent)));
-    assert_ne!(connection.get().standing(), Standing::Client);
+    assert_ne!(connection.get().owner(), ConnectionOwner::Client);
 }
 
 #[rstest]
@@ -282,14 +283,14 @@
     let inner = lineage.begin(running("a.b", "lookup", 1_000, 0.0));
     let connection = Cell::default();
     let origin = lineage.classify(arriving("a.b.c", "fetch", 700), &connection, at(0));
-    assert_eq!(origin, Origin::Call(Parent::Sure(inner)));
+    assert_eq!(origin, Origin::Call(Parent::Certain(inner)));
     lineage.end(inner, at(10));
     let origin = lineage.classify(arriving("a.d", "fetch", 700), &connection, at(10));
-    assert_eq!(origin, Origin::Call(Parent::Sure(outer)));
+    assert_eq!(origin, Origin::Call(Parent::Certain(outer)));
 }
 
 #[rstest]
-fn a_failure_is_put_down_to_the_call_of_its_own_that_failed() {
+fn a_failure_is_attributed_to_the_requests_own_failed_call() {
     let mut lineage = Lineage::default();
     let connection = Cell::default();
     let keys: HashMap<&str, RunningKey> =
@@ -309,7 +310,7 @@
     assert_eq!(
         lineage.attribute_fault(keys["c"], 500, at(21)),
         ResponseFault::Instance,
-        "none of its calls failed"
+        "no call of its own failed"
     );
     assert_eq!(lineage.attribute_fault(keys["c"], 504, at(21)), ResponseFault::Callee, "given up at its deadline");
     assert_eq!(lineage.attribute_fault(keys["a"], 200, at(400)), ResponseFault::None);
@@ -331,20 +332,20 @@
 }
 
 #[rstest]
-fn a_call_is_a_repeat_as_its_parent_is_or_as_probably_as_what_runs() {
+fn a_call_has_the_retry_probability_of_its_parent_or_the_mean_of_running_requests() {
     let mut lineage = Lineage::default();
     assert_eq!(lineage.retry_probability(Parent::Unknown), 0.0);
-    let repeat = lineage.begin(running("a", "check", 100, 1.0));
+    let retry = lineage.begin(running("a", "check", 100, 1.0));
     let first = lineage.begin(running("b", "check", 100, 0.0));
     lineage.begin(running("c", "check", 200, 0.5));
     assert_eq!(lineage.retry_probability(Parent::Unknown), 0.5);
-    assert_eq!(lineage.retry_probability(Parent::Sure(repeat)), 1.0);
-    assert_eq!(lineage.retry_probability(Parent::Sure(first)), 0.0);
-    lineage.end(repeat, at(50));
+    assert_eq!(lineage.retry_probability(Parent::Certain(retry)), 1.0);
+    assert_eq!(lineage.retry_probability(Parent::Certain(first)), 0.0);
+    lineage.end(retry, at(50));
     assert_eq!(lineage.retry_probability(Parent::Unknown), 0.25);
 }
 
-/// Calls carry no key, so one with a key is a client's, whatever its id and deadline look like.
+/// Calls carry no key, so a request with one is a client's, whatever its id and deadline look like.
 #[rstest]
 fn a_request_with_a_key_is_never_a_call() {
     let mut lineage = Lineage::default();
@@ -354,6 +355,6 @@
         let id = format!("parent.{index}");
         assert!(matches!(lineage.classify(arriving(&id, "ping", 900), &connection, at(10)), Origin::Call(_)));
     }
-    let keyed = Arriving { is_keyed: true, ..arriving("parent.21", "ping", 900) };
+    let keyed = ArrivingRequest { has_key: true, ..arriving("parent.21", "ping", 900) };
     assert_eq!(lineage.classify(keyed, &connection, at(11)), Origin::Client);
 }
