--- a/crates/sidecar/src/access/mod.rs
+++ b/crates/sidecar/src/access/mod.rs
@@ -1,8 +1,8 @@
-//! Who may make requests, and how many: keys, their proof and quotas at this node.
+//! Access control: API keys, the proof that they are current, and quotas at this node.
 //!
-//! The decisions are those of [`olivegate_authentication`] and [`olivegate_quota`]; this part
-//! holds their state and gives them time, settings and random numbers. [`crate::peers::access`]
-//! feeds it from other nodes, [`crate::follow`] from the source.
+//! The decisions are made by [`olivegate_authentication`] and [`olivegate_quota`]; this module holds their
+//! state and supplies time, settings and random numbers. [`crate::peers::access`] feeds it with reports of
+//! other nodes, [`crate::follow`] with data from the source.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,32 +19,32 @@
 
 use crate::settings::Bounds;
 
-/// Kept back from the age at which a key no longer counts, for the way from the decision to the
-/// instance.
-const PROOF_RESERVE: Duration = Duration::from_millis(250);
+/// Subtracted from the maximum age of the proof, to cover the time between the decision and the request's
+/// arrival at the instance.
+const PROOF_AGE_MARGIN: Duration = Duration::from_millis(250);
 
-/// Keys, proof and quotas of one node.
+/// API keys, proof and quotas of one node.
 pub struct Access {
     secret: HashSecret,
     keys: RefCell<Rc<KeyTable>>,
     limits: RefCell<Limits>,
     proof: RefCell<ConfigurationProof>,
     quota: RefCell<NodeQuotas>,
-    /// Counts for the zone when other nodes report to this one.
+    /// Sums up the usage of the zone when other nodes report to this one.
     pub collector: RefCell<Collector>,
-    nodes: Cell<u32>,
-    /// Told when there is something to ask other nodes at once.
+    node_count: Cell<u32>,
+    /// Notified when other nodes are to be asked for proof at once.
     pub proof_requested: Notify,
 }
 
-/// A place in a tenant's quota that a request has taken.
+/// A request's reservation in its tenant's quota.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaReservation(TenantId);
 
 impl Access {
-    /// No tenant is known yet. `secret` and `generation` are drawn at random.
+    /// Creates the state without tenants. `secret` and `generation` are drawn at random.
     pub fn new(secret: HashSecret, generation: u32) -> Self {
-        let keys = KeyTable::new(&[], secret).expect("no tenants have no mistakes");
+        let keys = KeyTable::new(&[], secret).expect("an empty tenant list is valid");
         Access {
             secret,
             keys: RefCell::new(Rc::new(keys)),
@@ -52,29 +52,29 @@
             proof: RefCell::default(),
             quota: RefCell::default(),
             collector: RefCell::new(Collector::new(generation)),
-            nodes: Cell::new(1),
+            node_count: Cell::new(1),
             proof_requested: Notify::new(),
         }
     }
 
-    /// Puts the tenants of a configuration in force, or says what is wrong with them.
+    /// Applies the tenants of a configuration, or returns what is wrong with them.
     pub fn apply_tenants(&self, tenants: &[Tenant], bounds: &Bounds) -> Result<(), KeyTableError> {
         let keys = KeyTable::new(tenants, self.secret)?;
         let limited = keys.tenants().iter().filter(|tenant| tenant.rate_per_s > 0.0);
         let limits =
-            limited.map(|tenant| (TenantId::of(&tenant.name), limit_of(tenant).enforced_with(&bounds.quota)));
+            limited.map(|tenant| (TenantId::of(&tenant.name), quota_limit(tenant).enforced_with(&bounds.quota)));
         *self.limits.borrow_mut() = limits.collect();
         *self.keys.borrow_mut() = Rc::new(keys);
         self.proof_requested.notify_one();
         Ok(())
     }
 
-    /// True where requests need keys.
+    /// True when requests need an API key.
     pub fn has_tenants(&self) -> bool {
         !self.keys.borrow().is_empty()
     }
 
-    /// Tells who makes a request, or why it is not let in.
+    /// Identifies the caller of a request, or returns why it is denied.
     pub fn authenticate(
         &self,
         key: Option<&[u8]>,
@@ -82,27 +82,29 @@
         bounds: &Bounds,
         now: Moment,
     ) -> Result<Caller, Denial> {
-        let bound = bounds.keys_proven_within.map(|within| within.saturating_sub(PROOF_RESERVE));
-        let knowledge = ProofFreshness { age: self.proof_age(now), max_age: bound };
-        authenticate(&self.keys.borrow(), key, is_public, knowledge)
+        let max_age = bounds.keys_proven_within.map(|limit| limit.saturating_sub(PROOF_AGE_MARGIN));
+        let freshness = ProofFreshness { age: self.proof_age(now), max_age };
+        authenticate(&self.keys.borrow(), key, is_public, freshness)
     }
 
-    /// Age of the proof that no newer configuration was accepted; `None` when nothing is proven.
+    /// Age of the proof that no newer configuration has been accepted; `None` without any proof.
     pub fn proof_age(&self, now: Moment) -> Option<Duration> {
         self.proof.borrow().age(now)
     }
 
-    /// A reading that began at `began` showed nothing newer than what is in force.
+    /// Records that a read of the source which began at `began` found nothing newer than the configuration in
+    /// force.
     pub fn on_source_read(&self, began: Moment) {
         self.proof.borrow_mut().on_read(began);
     }
 
-    /// A node that was asked at `asked` said that nothing newer was accepted as of `age` before.
+    /// Records the reply of a node that was asked at `asked`: `age` before its reply, nothing newer had been
+    /// accepted.
     pub fn on_peer_proof(&self, asked: Moment, age: Duration) {
         self.proof.borrow_mut().on_peer_answer(asked, age);
     }
 
-    /// Takes a place in the quota of `tenant`; `None` where it has no limit.
+    /// Reserves one request of the tenant's quota; `None` if the tenant has no limit.
     pub fn reserve_quota(
         &self,
         tenant: &Tenant,
@@ -111,36 +113,36 @@
     ) -> Result<Option<QuotaReservation>, QuotaExceeded> {
         let id = TenantId::of(&tenant.name);
         let Some(limit) = self.limits.borrow().get(&id).copied() else { return Ok(None) };
-        self.quota.borrow_mut().admit(id, limit, self.nodes.get(), draw, now)?;
+        self.quota.borrow_mut().admit(id, limit, self.node_count.get(), draw, now)?;
         Ok(Some(QuotaReservation(id)))
     }
 
-    /// The request that took `place` was not run.
+    /// Returns the reservation of a request that was not run.
     pub fn release_quota(&self, reservation: QuotaReservation, now: Moment) {
         self.quota.borrow_mut().refund(reservation.0, now);
     }
 
-    /// The node's share of the quotas, for what is told and heard of them.
+    /// The node's share of the quotas, for exchanging usage with other nodes.
     pub fn quota(&self) -> std::cell::RefMut<'_, NodeQuotas> {
         self.quota.borrow_mut()
     }
 
-    /// Limits of the tenants, as nodes aim at them.
+    /// Limits of the tenants, as nodes enforce them.
     pub fn limits(&self) -> std::cell::Ref<'_, Limits> {
         self.limits.borrow()
     }
 
-    /// Nodes that are listed.
+    /// Number of nodes in the directory.
     pub fn node_count(&self) -> u32 {
-        self.nodes.get()
+        self.node_count.get()
     }
 
-    /// Notes the number of nodes that are listed.
-    pub fn set_node_count(&self, nodes: u32) {
-        self.nodes.set(nodes.max(1));
+    /// Sets the number of nodes in the directory.
+    pub fn set_node_count(&self, node_count: u32) {
+        self.node_count.set(node_count.max(1));
     }
 }
 
-fn limit_of(tenant: &Tenant) -> QuotaLimit {
+fn quota_limit(tenant: &Tenant) -> QuotaLimit {
     QuotaLimit { rate_per_s: tenant.rate_per_s, burst: tenant.burst }
 }
