--- a/crates/sidecar/src/connection_limit.rs
+++ b/crates/sidecar/src/connection_limit.rs
@@ -1,7 +1,7 @@
-//! Bounds the connections that a port holds; those at rest make room for new ones.
+//! Limits the connections of a port; idle ones are closed to make room for new ones.
 //!
-//! Callers keep connections for later. A port that holds as many as it may would leave new
-//! ones unread for as long as the old ones rest, so it closes the one that has rested longest.
+//! Callers keep connections alive for reuse. At its limit, a port would leave new connections unread for as
+//! long as the old ones stay idle, so it closes the one that has been idle longest.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,89 +13,94 @@
 /// The connections of one port.
 #[derive(Debug)]
 pub struct ConnectionLimit {
-    most: usize,
-    evicted: Cell<usize>,
-    places: RefCell<Slab<Rc<State>>>,
+    max_connections: usize,
+    evicted_count: Cell<usize>,
+    connections: RefCell<Slab<Rc<ConnectionState>>>,
     freed: Notify,
 }
 
 #[derive(Debug)]
-struct State {
-    resting_since: Cell<Option<Instant>>,
+struct ConnectionState {
+    idle_since: Cell<Option<Instant>>,
     is_evicted: Cell<bool>,
     evicted: Notify,
 }
 
-/// The place of one connection; dropped when the connection has ended.
+/// The permit of one connection, dropped when the connection has ended.
 #[derive(Debug)]
 pub struct ConnectionPermit {
     limit: Rc<ConnectionLimit>,
     key: usize,
-    state: Rc<State>,
+    state: Rc<ConnectionState>,
 }
 
 impl ConnectionLimit {
-    /// At most `most` connections at a time.
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(ConnectionLimit { most, evicted: Cell::new(0), places: RefCell::default(), freed: Notify::new() })
+    /// Allows at most `max_connections` connections at a time.
+    pub fn new(max_connections: usize) -> Rc<Self> {
+        Rc::new(ConnectionLimit {
+            max_connections,
+            evicted_count: Cell::new(0),
+            connections: RefCell::default(),
+            freed: Notify::new(),
+        })
     }
 
-    /// A place for a new connection, which rests until it says otherwise. Evicts the one that
-    /// rests longest when there is no room, and waits when none rests.
+    /// Acquires a permit for a new connection, which is idle until marked busy. At the limit it evicts the
+    /// connection that has been idle longest, or waits if none is idle.
     pub async fn acquire(self: &Rc<Self>) -> ConnectionPermit {
         loop {
             let freed = self.freed.notified();
-            if self.has_room() || self.evict_longest_resting() {
-                return self.take_place();
+            if self.has_capacity() || self.evict_longest_idle() {
+                return self.new_permit();
             }
             freed.await;
         }
     }
 
-    /// Those that were told to go no longer count.
-    fn has_room(&self) -> bool {
-        self.places.borrow().len() - self.evicted.get() < self.most
+    /// Evicted connections no longer count.
+    fn has_capacity(&self) -> bool {
+        self.connections.borrow().len() - self.evicted_count.get() < self.max_connections
     }
 
-    fn evict_longest_resting(&self) -> bool {
-        let places = self.places.borrow();
-        let resting = places.iter().filter(|(_, state)| !state.is_evicted.get());
-        let since = |state: &Rc<State>| state.resting_since.get();
+    fn evict_longest_idle(&self) -> bool {
+        let connections = self.connections.borrow();
+        let remaining = connections.iter().filter(|(_, state)| !state.is_evicted.get());
+        let since = |state: &Rc<ConnectionState>| state.idle_since.get();
         let longest =
-            resting.filter_map(|(_, state)| Some((since(state)?, state))).min_by_key(|(since, _)| *since);
+            remaining.filter_map(|(_, state)| Some((since(state)?, state))).min_by_key(|(since, _)| *since);
         let Some((_, state)) = longest else { return false };
         state.is_evicted.set(true);
-        self.evicted.set(self.evicted.get() + 1);
+        self.evicted_count.set(self.evicted_count.get() + 1);
         state.evicted.notify_one();
         true
     }
 
-    fn take_place(self: &Rc<Self>) -> ConnectionPermit {
-        let state = Rc::new(State {
-            resting_since: Cell::new(Some(Instant::now())),
+    fn new_permit(self: &Rc<Self>) -> ConnectionPermit {
+        let state = Rc::new(ConnectionState {
+            idle_since: Cell::new(Some(Instant::now())),
             is_evicted: Cell::new(false),
             evicted: Notify::new(),
         });
-        let key = self.places.borrow_mut().insert(state.clone());
+        let key = self.connections.borrow_mut().insert(state.clone());
         ConnectionPermit { limit: self.clone(), key, state }
     }
 }
 
 impl ConnectionPermit {
-    /// The connection has nothing to do.
+    /// Marks the connection as idle.
     pub fn mark_idle(&self) {
-        if self.state.resting_since.get().is_none() {
-            self.state.resting_since.set(Some(Instant::now()));
+        if self.state.idle_since.get().is_none() {
+            self.state.idle_since.set(Some(Instant::now()));
         }
         self.limit.freed.notify_one();
     }
 
-    /// The connection carries a request.
+    /// Marks the connection as carrying a request.
     pub fn mark_busy(&self) {
-        self.state.resting_since.set(None);
+        self.state.idle_since.set(None);
     }
 
-    /// Waits until the connection is to make room for another one.
+    /// Waits until the connection is evicted to make room for another one.
     pub async fn evicted(&self) {
         while !self.state.is_evicted.get() {
             self.state.evicted.notified().await;
@@ -105,9 +110,9 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.limit.places.borrow_mut().try_remove(self.key);
+        self.limit.connections.borrow_mut().try_remove(self.key);
         if self.state.is_evicted.get() {
-            self.limit.evicted.set(self.limit.evicted.get() - 1);
+            self.limit.evicted_count.set(self.limit.evicted_count.get() - 1);
         }
         self.limit.freed.notify_one();
     }
--- a/crates/sidecar/src/edge/dispatch.rs
+++ b/crates/sidecar/src/edge/dispatch.rs
@@ -67,7 +67,7 @@
     let selected = node.weighted_round_robin.borrow_mut().next_service(&request.route);
     let service = selected.ok_or(LocalResponse::Rejected { status: 404, reason: "no-service" })?;
     let deadline = arrived + request.timeout;
-    let body_bytes = body.held_bytes();
+    let body_bytes = body.memory_bytes();
     let (whole_body, streamed) = match body {
         Body::Whole(bytes) => (bytes, None),
         Body::Stream(stream, length) => (Bytes::new(), Some((stream, length))),
@@ -95,7 +95,7 @@
         (result, _) => result,
     };
     if let Ok(response) = &result {
-        node.note_request_bytes(body_bytes + response.body.held_bytes());
+        node.note_request_bytes(body_bytes + response.body.memory_bytes());
     }
     result
 }
--- a/crates/sidecar/src/gate_protocol.rs
+++ b/crates/sidecar/src/gate_protocol.rs
@@ -1,11 +1,11 @@
-//! Messages between edge and gate: `borsh` in frames with a length.
+//! Messages between edge and gate, encoded with `borsh` in length-prefixed frames.
 //!
-//! A connection carries one offer at a time. What may run only once is offered in two steps:
-//! the gate grants a slot, and runs the request only when the edge has confirmed it. An edge
-//! that gives up before it confirmed knows that the request will never run. An edge that gives up closes it; the gate
-//! then drops the request, in its queue or in the instance. While an offer waits or runs
-//! the gate says so every [`PROGRESS_INTERVAL`]; an edge that hears nothing for
-//! [`SILENCE_LIMIT`] knows that the gate is cut off, frozen or gone.
+//! A connection carries one offer at a time. A request that may run only once is offered in two steps: the
+//! gate grants a slot, and runs the request only after the edge has confirmed it. An edge that gives up
+//! before it has confirmed therefore knows that the request will never run. An edge that gives up closes the
+//! connection; the gate then drops the request, in its queue or in the instance. While an offer waits or
+//! runs, the gate sends a progress message every [`PROGRESS_INTERVAL`]; an edge that receives nothing for
+//! [`SILENCE_LIMIT`] assumes that the gate is partitioned, frozen or gone.
 
 use std::time::Duration;
 
@@ -24,50 +24,51 @@
 use crate::peers::AnnouncedReading;
 use crate::reply::{Failure, Load, ResponseFault};
 
-/// Interval of the gate's signs of life.
+/// Interval of the gate's progress messages.
 pub const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
-/// A gate that says nothing for this long is suspected: others are preferred.
+/// A gate that has sent nothing for this long is suspected, and other gates are preferred.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(280);
-/// An edge that hears nothing for this long gives the gate up.
+/// An edge that has received nothing for this long gives up on the gate.
 pub const SILENCE_LIMIT: Duration = Duration::from_millis(600);
-/// A gate waits so long for the edge's confirmation.
+/// How long a gate waits for the edge's confirmation.
 pub const CONFIRM_LIMIT: Duration = Duration::from_millis(600);
-/// Name of the only group of callers: the platform knows none.
+/// Name of the only group of callers: the platform does not distinguish any.
 pub const CALLER_GROUP: &str = "all";
-/// Longest frame in bytes: a knowledge transfer at the target size fits.
+/// Maximum length of a frame in bytes; a transfer of the whole configuration and directory at the target
+/// cluster size fits.
 const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// Body of an offer.
+/// Body of an offered request.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum OfferedBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// It follows in [`EdgeMessage::Data`]; its length where that is known.
+    /// The body follows in [`EdgeMessage::Data`] messages; its length, if known.
     Streamed(Option<u64>),
 }
 
-/// The request at the root of a call graph, as all calls made for it are told.
+/// The request at the root of a call graph, as passed on with every call made for it.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct RootRequest {
     /// Name of its route.
     pub route: String,
-    /// Its importance: more important ones go first, wherever their calls meet.
+    /// Its importance: requests of higher importance are preferred wherever calls are admitted or queued.
     pub importance: Importance,
-    /// Its place among requests of the same importance, drawn once.
+    /// Its order among requests of the same importance, drawn at random once.
     pub rank: SheddingRank,
-    /// Part of such requests that its edge let begin, above 0 and at most 1: each stands for
-    /// `1 / admitted` requests that wanted to.
+    /// Fraction of such requests that its edge admitted, above 0 and at most 1: each admitted request stands
+    /// for `1 / admitted_fraction` requests that were sent.
     pub admitted_fraction: f32,
 }
 
 impl RootRequest {
-    /// The class that it is shed with.
+    /// The class by which it is shed.
     pub fn class(&self) -> ClassKey {
         class_of(&self.route, self.importance)
     }
 }
 
-/// The class of the requests of `route`.
+/// The shedding class of requests of `route`.
 pub fn class_of(route: &str, importance: Importance) -> ClassKey {
     ClassKey { root_kind: KindName::new(route), group: GroupName::new(CALLER_GROUP), importance }
 }
@@ -79,111 +80,112 @@
     pub instance: InstanceName,
     /// Name of its route.
     pub route: String,
-    /// Its head, as the instance is to get it but for the fields that the gate sets.
+    /// Its head as forwarded to the instance, except for the fields that the gate sets.
     pub head: RequestHead,
     /// Its body.
     pub body: OfferedBody,
-    /// Its id.
+    /// Its request id.
     pub request_id: Bytes,
     /// Time until the edge gives up, in milliseconds.
     pub time_left_ms: u32,
-    /// Longest wait for a slot that is worth it, in milliseconds.
+    /// Longest useful wait for a slot, in milliseconds.
     pub max_slot_wait_ms: u32,
     /// Target latency of the route, in milliseconds.
     pub target_latency_ms: u32,
-    /// The request that it is made for: itself, when a client made it.
+    /// The root of its call graph: the request itself, if a client made it.
     pub root: RootRequest,
-    /// 0 for a client's request; a call has one more than the request that makes it.
+    /// Depth in the call graph: 0 for a client's request, and one more for a call than for the request that
+    /// made it.
     pub hop: u8,
     /// Whether it may run more than once.
     pub safety: RetrySafety,
-    /// True when it has arrived at an instance before.
+    /// True when it has been sent to an instance before.
     pub is_retry: bool,
-    /// Instances that ended with it at work.
+    /// Instances that terminated while they ran it.
     pub reported_ends: Vec<ReportedEnd>,
-    /// Probability that the run which makes this call is a repeat; 0 for a client's request.
+    /// Probability that the run which makes this call is a retry; 0 for a client's request.
     pub parent_retry_probability: f32,
-    /// True when it may run only once the edge has confirmed it.
+    /// True when it may run only after the edge has confirmed it.
     pub needs_confirmation: bool,
-    /// The rate that the instance declares, as the edge was told, where it has ever declared one.
+    /// The rate that the instance declares, as far as the edge knows; `None` if it has never declared one.
     pub declared: Option<RateRecord>,
 }
 
-/// What a node knows, to compare with what another one knows.
+/// Versions of what a node knows, for comparison with another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
 pub struct KnownState {
     /// Version of its configuration; 0 for none.
     pub configuration: ConfigurationVersion,
-    /// State of its directory.
+    /// Revision of its directory.
     pub directory: Revision,
 }
 
-/// Messages of an edge.
+/// Messages sent by an edge.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum EdgeMessage {
-    /// A request.
+    /// Offers a request.
     Offer(Box<Offer>),
-    /// A piece of its body.
+    /// A chunk of the request's body.
     Data(Bytes),
-    /// Its body is whole.
+    /// The request's body is complete.
     End,
-    /// The granted request may run.
+    /// Confirms a granted request, which may now run.
     Confirm,
-    /// Asks for everything that is newer than this.
+    /// Asks for everything that is newer than this state.
     Fetch(KnownState),
 }
 
-/// Messages of a gate.
+/// Messages sent by a gate.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum GateMessage {
-    /// The offer waits or runs.
+    /// The offer is still waiting or running.
     Progress,
-    /// The offer has a slot and waits to be confirmed.
+    /// The offer has been granted a slot and waits for confirmation.
     Granted,
     /// The request was not run and never will be.
     Refused {
-        /// Why.
+        /// Why it was refused.
         reason: RefusalReason,
-        /// When to come back, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_after_ms: u32,
-        /// The instance that is there in place of the one that was meant.
+        /// The instance that was found in place of the intended one.
         successor: Option<Box<Instance>>,
         /// The gate's load.
         load: Load,
     },
-    /// The exchange with the instance gave no answer.
+    /// The exchange with the instance gave no response.
     Failed {
         /// Why, and whether the request may have run.
         failure: Failure,
         /// The gate's load.
         load: Load,
     },
-    /// The instance's answer.
+    /// The instance's response.
     Answered {
         /// Its head.
         head: ResponseHead,
-        /// Its whole body; `None` when it follows in [`GateMessage::Data`].
+        /// Its complete body; `None` when it follows in [`GateMessage::Data`] messages.
         body: Option<Bytes>,
-        /// Length of a body that follows, where that is known.
+        /// Length of a body that follows, if known.
         length: Option<u64>,
-        /// What it failed by, if it did.
+        /// What a failure in it is attributed to.
         fault: ResponseFault,
         /// The gate's load.
         load: Load,
     },
-    /// A piece of the answer's body.
+    /// A chunk of the response's body.
     Data(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     End,
-    /// The rest of the answer can't be had.
+    /// The rest of the response is lost.
     Broken,
-    /// What the other node lacked.
+    /// Reply to [`EdgeMessage::Fetch`].
     ClusterUpdate {
-        /// A newer configuration.
+        /// The configuration, if newer.
         configuration: Option<Configuration>,
-        /// A newer directory.
+        /// The directory, if newer.
         directory: Option<DirectoryUpdate>,
-        /// The latest reading of the source that it knows of.
+        /// The latest read of the source that the node knows of.
         reading: Option<AnnouncedReading>,
     },
 }
@@ -191,18 +193,18 @@
 /// A connection between an edge and a gate.
 pub type GateStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Frames a connection.
+/// Adds framing to a connection.
 pub fn framed(stream: TcpStream) -> GateStream {
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     Framed::new(stream, codec)
 }
 
-/// A message in its frame's form.
+/// Encodes a message as the content of a frame.
 pub fn encode<Message: BorshSerialize>(message: &Message) -> Bytes {
     borsh::to_vec(message).map(Bytes::from).unwrap_or_default()
 }
 
-/// The message of a frame.
+/// Decodes the content of a frame.
 pub fn decode<Message: BorshDeserialize>(frame: &[u8]) -> std::io::Result<Message> {
     borsh::from_slice(frame)
 }
--- a/crates/sidecar/src/lateness.rs
+++ b/crates/sidecar/src/lateness.rs
@@ -1,7 +1,7 @@
-//! Measures whether this process keeps up with its work.
+//! Measures scheduling lateness, to detect whether this process keeps up with its work.
 //!
-//! A task that is made ready now runs when all that was ready before has run. How long that
-//! takes is sampled while requests come, at no cost to a process that has nothing to do.
+//! A newly spawned task runs after all tasks that were ready before it. How long that takes is sampled only
+//! while requests arrive, so an idle process pays nothing.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// Shortest time between two samples.
+/// Minimum time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Begins a sample if the last one is old enough.
+/// Starts a sample if the last one is old enough.
 pub fn sample(node: &Rc<Node>, now: Moment) {
     if now.since(node.lateness_sampled.get()) < SAMPLE_INTERVAL {
         return;
@@ -25,18 +25,18 @@
     let node = node.clone();
     spawn_local(async move {
         let ran = clock::now();
-        note(&node, ran.since(now), ran);
+        apply_sample(&node, ran.since(now), ran);
     });
 }
 
-/// Has gate and edge follow what a sample says.
-fn note(node: &Node, lateness: Duration, now: Moment) {
-    let before = node.pressure.borrow().admitted_fraction();
+/// Applies a sample to the pressure of the edge and the pace of the gate.
+fn apply_sample(node: &Node, lateness: Duration, now: Moment) {
+    let admitted_before = node.pressure.borrow().admitted_fraction();
     let Some(pace) = node.pressure.borrow_mut().on_lateness(lateness, now) else { return };
     node.gate.on_process_pace(pace);
-    let part = node.pressure.borrow().admitted_fraction();
-    let began_or_ended = (before < 1.0) != (part < 1.0);
-    if pace == ProcessPace::Late || began_or_ended {
-        log::info!("event=process_pace pace={pace:?} part={part:.2} lateness_ms={}", lateness.as_millis());
+    let admitted = node.pressure.borrow().admitted_fraction();
+    let throttling_changed = (admitted_before < 1.0) != (admitted < 1.0);
+    if pace == ProcessPace::Late || throttling_changed {
+        log::info!("event=process_pace pace={pace:?} part={admitted:.2} lateness_ms={}", lateness.as_millis());
     }
 }
--- a/crates/sidecar/src/reply.rs
+++ b/crates/sidecar/src/reply.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request: an instance's answer, or what the node says instead.
+//! Results of a request at a gate: an instance's response, a refusal or a failure.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,38 +12,38 @@
 use crate::declared::RateRecord;
 use crate::model::{Instance, Millis};
 
-/// The rest of a body can't be had.
+/// The rest of a body is lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IncompleteBody;
 
 impl fmt::Display for IncompleteBody {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the body broke off")
+        formatter.write_str("the body ended before it was complete")
     }
 }
 
 impl std::error::Error for IncompleteBody {}
 
-/// Pieces of a body; its end is the end of the stream.
+/// Chunks of a body; the body is complete at the end of the stream.
 pub type BodyStream = LocalBoxStream<'static, Result<Bytes, IncompleteBody>>;
 
-/// A body, of a request or of an answer.
+/// The body of a request or a response.
 pub enum Body {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// To be read on, with its length where that is known.
+    /// Chunks that are still to be read, and the length of the body, if known.
     Stream(BodyStream, Option<u64>),
 }
 
-/// Memory counted for a body that is not read whole, in bytes.
-const STREAMED_BYTES: usize = 64 << 10;
+/// Memory accounted for a body that is streamed, in bytes.
+const STREAMED_BODY_BYTES: usize = 64 << 10;
 
 impl Body {
-    /// Memory that it holds, in bytes.
-    pub fn held_bytes(&self) -> usize {
+    /// Memory that the body occupies, in bytes.
+    pub fn memory_bytes(&self) -> usize {
         match self {
             Body::Whole(bytes) => bytes.len(),
-            Body::Stream(..) => STREAMED_BYTES,
+            Body::Stream(..) => STREAMED_BODY_BYTES,
         }
     }
 }
@@ -57,33 +57,33 @@
     }
 }
 
-/// Why an exchange with an instance gave no answer.
+/// Why an exchange with an instance gave no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum FailureReason {
-    /// The instance can't be connected to.
+    /// Connecting to the instance failed.
     Connect,
-    /// The connection ended or was reset.
+    /// The connection was closed or reset.
     Broken,
-    /// The connection ended, and the instance with it.
+    /// The connection was closed because the instance terminated.
     InstanceEnded,
-    /// What came back is no answer.
+    /// The response is malformed.
     Malformed,
-    /// No answer in time.
+    /// No response in time.
     TimedOut,
-    /// The instance refused it unrun.
+    /// The instance refused the request without running it.
     RefusedByInstance,
     /// Another instance has the address.
     WrongInstance,
-    /// The gate fell silent.
+    /// The gate stopped responding.
     GateSilent,
-    /// The connection to the gate ended.
+    /// The connection to the gate was closed.
     GateLost,
-    /// The client's own request broke off.
+    /// The client aborted its request.
     RequestBroken,
 }
 
 impl FailureReason {
-    /// Text of log lines and metrics.
+    /// Name in log lines and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             FailureReason::Connect => "connect",
@@ -100,50 +100,50 @@
     }
 }
 
-/// An exchange that gave no answer.
+/// An exchange that gave no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Failure {
     /// Why.
     pub reason: FailureReason,
     /// False only when the instance certainly did not run the request and never will.
     pub may_have_run: bool,
-    /// True when the request arrived at the instance, run or not.
+    /// True when the request reached the instance, whether it ran or not.
     pub arrived: bool,
 }
 
 impl Failure {
-    /// The request never reached the instance.
+    /// A request that never reached the instance.
     pub fn not_sent(reason: FailureReason) -> Self {
         Failure { reason, may_have_run: false, arrived: false }
     }
 
-    /// The instance has the request and says that it did not run it.
+    /// A request that the instance received but reports not to have run.
     pub fn not_run(reason: FailureReason) -> Self {
         Failure { reason, may_have_run: false, arrived: true }
     }
 
-    /// Nobody can say whether the request ran.
+    /// A request of which it is unknown whether it ran.
     pub fn unknown(reason: FailureReason) -> Self {
         Failure { reason, may_have_run: true, arrived: true }
     }
 }
 
-/// What a failure in an answer is put down to.
+/// What a failed response is attributed to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
 pub enum ResponseFault {
-    /// It is no failure.
+    /// The response is not a failure.
     #[default]
     None,
-    /// There was no room for it, or for a call that it needed.
+    /// The request, or a call made for it, was refused for lack of capacity.
     Capacity,
-    /// A call that it needed failed.
+    /// A call made for the request failed.
     Callee,
-    /// The instance failed it by itself.
+    /// The instance itself failed the request.
     Instance,
 }
 
 impl ResponseFault {
-    /// Text of log lines.
+    /// Name in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             ResponseFault::None => "none",
@@ -154,41 +154,41 @@
     }
 }
 
-/// An answer of an instance.
+/// A response of an instance.
 #[derive(Debug)]
 pub struct Response {
-    /// Its head, without fields that concern one connection.
+    /// Its head, without hop-by-hop fields.
     pub head: ResponseHead,
     /// Its body.
     pub body: Body,
-    /// What it failed by, if it did.
+    /// What a failure in it is attributed to.
     pub fault: ResponseFault,
 }
 
-/// How busy a gate is, told with each of its replies.
+/// Load of a gate, reported with each of its replies.
 #[derive(Debug, Clone, Copy, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Load {
-    /// Requests in the instance and waiting, over the limit.
+    /// Requests in the instance and in its queue, relative to the concurrency limit.
     pub occupancy: f32,
-    /// Time in the instance over the target latency of the routes, on average.
+    /// Average time in the instance, relative to the target latency of the routes.
     pub latency_ratio: f32,
-    /// Fraction of exchanges that the instance failed by itself, on average.
+    /// Average fraction of exchanges in which the instance itself failed the request.
     pub failure_rate: f32,
-    /// Fraction of new requests of the root's class that may begin; above 1 where there is room
-    /// for more.
+    /// Fraction of new requests of the root's class that may be admitted; above 1 where there is capacity for
+    /// more.
     pub level: f32,
-    /// What the instance has said of itself; `None` as long as it has said nothing.
+    /// What the instance has reported about itself; `None` until it has reported anything.
     pub self_report: Option<SelfReport>,
 }
 
-/// What an instance has said of itself in its answers.
+/// What an instance has reported about itself in its responses.
 #[derive(Debug, Clone, Copy, PartialEq, Default, BorshSerialize, BorshDeserialize)]
 pub struct SelfReport {
     /// The rate that it declares.
     pub declared: RateRecord,
-    /// It leaves.
+    /// True when it has announced that it is leaving.
     pub is_leaving: bool,
-    /// Time for which the edge is to prefer other instances, since the declared rate is used up.
+    /// How long the edge should prefer other instances, because the declared rate is used up.
     pub retry_after: Millis,
 }
 
@@ -198,23 +198,23 @@
     }
 }
 
-/// What a gate makes of an offer.
+/// A gate's reply to an offer.
 #[derive(Debug)]
 pub enum GateReply {
-    /// Not run, and never will be.
+    /// The request was not run and never will be.
     Refused {
-        /// Why, and when to come back.
+        /// Why, and when to retry.
         refusal: Refusal,
-        /// The instance that is there in place of the one that was meant.
+        /// The instance that was found in place of the intended one.
         successor: Option<Box<Instance>>,
     },
-    /// No answer.
+    /// The exchange with the instance gave no response.
     Failed(Failure),
-    /// The instance's answer.
+    /// The instance's response.
     Answered(Response),
 }
 
-/// A refusal of the gate itself.
+/// Creates a refusal by the gate itself.
 pub fn refused(reason: RefusalReason, retry_after: Duration) -> GateReply {
     GateReply::Refused { refusal: Refusal::new(reason, retry_after), successor: None }
 }
