--- a/crates/sidecar/tests/decisions/attempts.rs
+++ b/crates/sidecar/tests/decisions/attempts.rs
@@ -1,4 +1,4 @@
-//! What follows an attempt without an answer.
+//! Tests of what follows an attempt without a response.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,29 +14,33 @@
     Refusal::new(RefusalReason::PredictedWait, Duration::from_millis(100))
 }
 
-fn no_repeat() -> Refusal {
+fn no_retry_budget() -> Refusal {
     Refusal::new(RefusalReason::RepeatBudget, Duration::from_millis(100))
 }
 
 #[rstest]
 #[case::safe_may_run_twice(Safe, Failure::unknown(FailureReason::Broken), NextStep::TryAnother)]
 #[case::unsafe_may_not(Unsafe, Failure::unknown(FailureReason::Broken), NextStep::GiveUp(FinalFailure::Unknown))]
-#[case::not_run_is_sure(Unsafe, Failure::not_run(FailureReason::WrongInstance), NextStep::TryAnother)]
+#[case::not_run_for_certain(Unsafe, Failure::not_run(FailureReason::WrongInstance), NextStep::TryAnother)]
 #[case::not_sent_is_free(Unsafe, Failure::not_sent(FailureReason::Connect), NextStep::TryAnother)]
 fn after_a_failure(#[case] safety: RetrySafety, #[case] failure: Failure, #[case] next: NextStep) {
     assert_eq!(Attempts::new(safety, 2).on_failed(failure), next);
 }
 
 #[rstest]
-fn without_a_repeat_left_the_verdict_follows_what_is_sure() {
+fn without_retry_budget_the_final_failure_depends_on_whether_it_may_have_run() {
     let mut may_have_run = Attempts::new(Safe, 2);
     may_have_run.on_failed(Failure::unknown(FailureReason::Broken));
-    assert_eq!(may_have_run.on_refused(no_repeat()), NextStep::TryAnother, "another gate may have one");
-    assert_eq!(may_have_run.on_refused(no_repeat()), NextStep::GiveUp(FinalFailure::Unknown));
+    assert_eq!(
+        may_have_run.on_refused(no_retry_budget()),
+        NextStep::TryAnother,
+        "another gate may have budget left"
+    );
+    assert_eq!(may_have_run.on_refused(no_retry_budget()), NextStep::GiveUp(FinalFailure::Unknown));
     let mut not_run = Attempts::new(Unsafe, 2);
     not_run.on_failed(Failure::not_run(FailureReason::RefusedByInstance));
-    not_run.on_refused(no_repeat());
-    assert!(matches!(not_run.on_refused(no_repeat()), NextStep::GiveUp(FinalFailure::NotRun(_))));
+    not_run.on_refused(no_retry_budget());
+    assert!(matches!(not_run.on_refused(no_retry_budget()), NextStep::GiveUp(FinalFailure::NotRun(_))));
 }
 
 #[rstest]
@@ -48,12 +52,12 @@
 }
 
 #[rstest]
-fn want_of_capacity_is_told_before_other_refusals() {
+fn capacity_shortage_is_reported_before_other_refusals() {
     let mut attempts = Attempts::new(Unsafe, 2);
-    let leaving = Refusal::new(RefusalReason::NodeNotReady, Duration::from_millis(100));
-    attempts.on_refused(leaving);
+    let not_ready = Refusal::new(RefusalReason::NodeNotReady, Duration::from_millis(100));
+    attempts.on_refused(not_ready);
     attempts.on_refused(refusal());
-    attempts.on_refused(leaving);
+    attempts.on_refused(not_ready);
     assert_eq!(attempts.on_no_candidate(), FinalFailure::NotRun(refusal()));
     assert_eq!(attempts.attempt_log(), "none:node-not-ready,none:predicted-wait,none:node-not-ready");
 }
@@ -61,9 +65,9 @@
 #[rstest]
 fn a_request_is_not_offered_to_many_full_instances() {
     let mut attempts = Attempts::new(Safe, 2);
-    let nexts: Vec<NextStep> = (0..4).map(|_| attempts.on_refused(refusal())).collect();
-    assert_eq!(nexts[..3], [NextStep::TryAnother; 3]);
-    assert_eq!(nexts[3], NextStep::GiveUp(FinalFailure::NotRun(refusal())));
+    let next_steps: Vec<NextStep> = (0..4).map(|_| attempts.on_refused(refusal())).collect();
+    assert_eq!(next_steps[..3], [NextStep::TryAnother; 3]);
+    assert_eq!(next_steps[3], NextStep::GiveUp(FinalFailure::NotRun(refusal())));
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -80,30 +84,30 @@
 }
 
 proptest! {
-    /// However attempts end: an unsafe request reaches no instance once it may have run, no
-    /// request reaches more instances than its route allows, one that may have run it is not sent
-    /// it again, and `NotRun` is only said when nothing may have run.
+    /// However attempts end: an unsafe request reaches no instance once it may have run, no request reaches
+    /// more instances than its route allows, an instance that may have run a request does not receive it
+    /// again, and `NotRun` is only reported when nothing may have run.
     #[test]
-    fn arrivals_and_verdicts_keep_their_promises(
+    fn arrivals_and_final_failures_keep_their_guarantees(
         is_safe: bool,
-        most in 1_usize..4,
-        grants: u16,
+        max_instances in 1_usize..4,
+        capacity_refusals: u16,
         steps in steps(),
         choices in proptest::collection::vec(0_usize..5, 24),
     ) {
-        let mut attempts = Attempts::new(if is_safe { Safe } else { Unsafe }, most as u32);
+        let mut attempts = Attempts::new(if is_safe { Safe } else { Unsafe }, max_instances as u32);
         let (mut reached, mut may_have_run) = (BTreeSet::new(), false);
         let mut ran_at = BTreeSet::new();
         let mut arrivals = 0;
-        let mut verdict = None;
+        let mut final_failure = None;
         for (index, step) in steps.into_iter().enumerate() {
             let first = choices[index];
             let names = (0..5).map(|offset| InstanceName::new(format!("i-{}", (first + offset) % 5)));
             let Some(instance) = names.into_iter().find(|name| attempts.may_offer_to(name)) else { break };
             attempts.on_offer(&instance);
-            let granted = grants >> (index % 16) & 1 == 1;
+            let is_capacity_refusal = capacity_refusals >> (index % 16) & 1 == 1;
             let next = match step {
-                Step::Refused => attempts.on_refused(if granted { refusal() } else { no_repeat() }),
+                Step::Refused => attempts.on_refused(if is_capacity_refusal { refusal() } else { no_retry_budget() }),
                 Step::NotSent => attempts.on_failed(Failure::not_sent(FailureReason::Connect)),
                 Step::NotRun => {
                     arrivals += 1;
@@ -120,19 +124,19 @@
                     attempts.on_failed(Failure::unknown(FailureReason::Broken))
                 }
             };
-            prop_assert!(reached.len() <= most && arrivals <= 6);
-            if let NextStep::GiveUp(given) = next {
-                verdict = Some(given);
+            prop_assert!(reached.len() <= max_instances && arrivals <= 6);
+            if let NextStep::GiveUp(failure) = next {
+                final_failure = Some(failure);
                 break;
             }
         }
-        let verdict = verdict.unwrap_or_else(|| attempts.on_no_candidate());
-        prop_assert_eq!(matches!(verdict, FinalFailure::Unknown), may_have_run);
+        let final_failure = final_failure.unwrap_or_else(|| attempts.on_no_candidate());
+        prop_assert_eq!(matches!(final_failure, FinalFailure::Unknown), may_have_run);
     }
 }
 
 #[rstest]
-fn a_gate_that_fell_silent_may_still_pass_the_request_on() {
+fn a_gate_that_stopped_responding_may_still_pass_the_request_on() {
     let silent = Failure { reason: FailureReason::GateSilent, may_have_run: true, arrived: false };
     let mut attempts = Attempts::new(Safe, 2);
     attempts.on_offer(&InstanceName::new("i-1"));
@@ -144,10 +148,10 @@
     assert_eq!(attempts.on_failed(silent), NextStep::GiveUp(FinalFailure::Unknown));
 }
 
-/// Instances that shed refuse by chance: what two of them refused goes to them again, and to no
-/// third one.
+/// Instances that shed load refuse at random: a request that two of them refused is offered to them again,
+/// and to no third one.
 #[rstest]
-fn what_was_shed_goes_to_the_same_instances_again() {
+fn a_shed_request_is_sent_to_the_same_instances_again() {
     let [left, right, third] = ["left", "right", "third"].map(InstanceName::new);
     let shed = Failure::not_run(FailureReason::RefusedByInstance);
     let mut attempts = Attempts::new(Unsafe, 2);
@@ -163,9 +167,9 @@
     assert!(matches!(attempts.on_failed(shed), NextStep::GiveUp(FinalFailure::NotRun(_))));
 }
 
-/// An instance that leaves, or is another one, is not asked again.
+/// An instance that is leaving, or that is not the intended one, does not receive the request again.
 #[rstest]
-fn what_another_instance_answered_for_does_not_go_there_again() {
+fn a_request_refused_by_the_wrong_instance_is_not_sent_there_again() {
     let [left, right] = ["left", "right"].map(InstanceName::new);
     let mut attempts = Attempts::new(Safe, 2);
     attempts.on_offer(&left);
--- a/crates/sidecar/tests/decisions/routes.rs
+++ b/crates/sidecar/tests/decisions/routes.rs
@@ -1,4 +1,4 @@
-//! Routes and weights.
+//! Tests of route lookup and weighted distribution.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use rstest::rstest;
 
 fn route(name: &str, host: &str, path_prefix: &str, weights: &[u32]) -> Route {
-    let part = |(index, &weight): (usize, &u32)| WeightedService {
+    let weighted = |(index, &weight): (usize, &u32)| WeightedService {
         service: ServiceName::new(format!("s{index}")),
         weight,
     };
@@ -19,7 +19,7 @@
         name: name.into(),
         host: host.into(),
         path_prefix: path_prefix.into(),
-        services: weights.iter().enumerate().map(part).collect(),
+        services: weights.iter().enumerate().map(weighted).collect(),
         safety: RetrySafety::Safe,
         timeout: None,
         target_latency: Millis(100),
@@ -53,15 +53,16 @@
 }
 
 proptest! {
-    /// After any number of requests each part is within one of its share.
+    /// After any number of requests, the count of each service differs from its share by at most the number
+    /// of services.
     #[test]
-    fn each_part_gets_its_share(weights in proptest::collection::vec(1_u32..100, 1..5), requests in 1_usize..400) {
+    fn each_service_gets_its_share(weights in proptest::collection::vec(1_u32..100, 1..5), requests in 1_usize..400) {
         let route = route("r", "a", "/", &weights);
         let mut weighted_round_robin = WeightedRoundRobin::default();
         let mut counts = vec![0_usize; weights.len()];
         for _ in 0..requests {
             let service = weighted_round_robin.next_service(&route).unwrap();
-            let index = route.services.iter().position(|part| part.service == service).unwrap();
+            let index = route.services.iter().position(|weighted| weighted.service == service).unwrap();
             counts[index] += 1;
         }
         let total: u32 = weights.iter().sum();
--- a/crates/sidecar/tests/decisions/waits.rs
+++ b/crates/sidecar/tests/decisions/waits.rs
@@ -1,4 +1,4 @@
-//! How long readers wait for changes in one call.
+//! How long readers wait for changes in one long poll.
 
 use std::time::Duration;
 
@@ -7,13 +7,14 @@
 use olivegate_sidecar::settings::Bounds;
 use rstest::rstest;
 
-/// A source that drops its history tells waiting calls nothing for so long.
-const DEAF: Duration = Duration::from_secs(1);
-/// From the end of a call to the gates of all zones: its answer, what is gathered, the way.
-const PASSED_ON: Duration = Duration::from_millis(300);
+/// How long waiting calls are not notified of changes when the source has compacted its history.
+const NO_NOTIFICATIONS: Duration = Duration::from_secs(1);
+/// From the end of a call until the gates of all zones know: its response, batching and propagation.
+const PROPAGATION: Duration = Duration::from_millis(300);
 
-/// Three calls of the source: a look, what crosses it, a reading.
-const THREE_CALLS: Duration = Duration::from_millis(150);
+/// Three calls to the source: a check, the time in which the waiting call may still report the change, and a
+/// read.
+const THREE_SOURCE_CALLS: Duration = Duration::from_millis(150);
 
 fn bounds(contact_ms: u64, drain_ms: u64) -> Bounds {
     Bounds {
@@ -31,36 +32,37 @@
 #[rstest]
 #[case::small(3_000, 2_000)]
 #[case::large(3_000, 2_500)]
-fn a_change_that_no_waiting_call_is_told_is_known_in_time(#[case] contact_ms: u64, #[case] drain_ms: u64) {
+fn a_change_that_no_waiting_call_reports_is_known_in_time(#[case] contact_ms: u64, #[case] drain_ms: u64) {
     let bounds = bounds(contact_ms, drain_ms);
-    // Written as the call before ended, told to nobody, found when the next call ends.
-    assert!(DEAF + wait_range(&bounds).end + PASSED_ON <= bounds.drain, "{:?}", wait_range(&bounds));
+    // The change is written when one call ends, is reported to no waiting call, and is found when the next
+    // call ends.
+    assert!(NO_NOTIFICATIONS + wait_range(&bounds).end + PROPAGATION <= bounds.drain, "{:?}", wait_range(&bounds));
 }
 
-/// Half of the time that is allowed stays for nodes that are late.
+/// Half of the allowed time is left for nodes that are late.
 #[rstest]
 #[case::small(3_000, 2_000)]
 #[case::large(3_000, 2_500)]
 #[case::larger(4_000, 3_000)]
 #[case::much_larger(15_000, 15_000)]
-fn a_change_on_a_silent_connection_is_known_by_a_look_in_half_of_the_time(
+fn a_change_on_a_silent_connection_is_found_by_a_check_in_half_of_the_time(
     #[case] contact_ms: u64,
     #[case] drain_ms: u64,
 ) {
     let bounds = bounds(contact_ms, drain_ms);
     assert!(
-        check_interval(&bounds) + THREE_CALLS + PASSED_ON <= bounds.drain / 2,
+        check_interval(&bounds) + THREE_SOURCE_CALLS + PROPAGATION <= bounds.drain / 2,
         "{:?}",
         check_interval(&bounds)
     );
 }
 
-/// Calls that end before a look is due need none.
+/// Calls that end before a check is due need none.
 #[rstest]
 #[case::small(3_000, 2_000)]
 #[case::large(3_000, 2_500)]
 #[case::larger(4_000, 3_000)]
-fn a_call_that_ends_in_time_costs_no_look(#[case] contact_ms: u64, #[case] drain_ms: u64) {
+fn a_call_that_ends_in_time_needs_no_check(#[case] contact_ms: u64, #[case] drain_ms: u64) {
     let bounds = bounds(contact_ms, drain_ms);
     assert!(wait_range(&bounds).end < check_interval(&bounds), "{:?}", wait_range(&bounds));
 }
