--- a/crates/sidecar/src/edge/attempts.rs
+++ b/crates/sidecar/src/edge/attempts.rs
@@ -22,7 +22,8 @@
 /// arrivals let one in three chains of four calls through; six let 19 in 20 through.
 const MAX_ARRIVALS: u32 = 6;
 
-/// Maximum number of gates with an exhausted retry budget that a request is offered to.
+/// Maximum number of gates that a request is offered to when they refuse it for lack of retry budget, or
+/// because its suspected content may only run in isolation.
 const MAX_RETRY_DENIALS: u32 = 2;
 
 /// Maximum number of instances that may terminate while they run one request: an instance that runs it next
@@ -64,7 +65,8 @@
     possible_runs: u32,
     may_have_run: bool,
     capacity_refusals: u32,
-    /// Number of gates that refused it because their retry budget was exhausted.
+    /// Number of gates that refused it for lack of retry budget, or because its suspected content may only
+    /// run in isolation.
     retry_denials: u32,
     offered_to: Vec<InstanceName>,
     /// The refusal reported to the client; a capacity shortage takes precedence over other reasons.
--- a/crates/sidecar/src/edge/local_response.rs
+++ b/crates/sidecar/src/edge/local_response.rs
@@ -42,8 +42,8 @@
 }
 
 impl From<FinalFailure> for LocalResponse {
-    fn from(verdict: FinalFailure) -> Self {
-        match verdict {
+    fn from(final_failure: FinalFailure) -> Self {
+        match final_failure {
             FinalFailure::NotRun(refusal) => {
                 LocalResponse::NotRun { reason: refusal.reason, retry_after: refusal.retry_after }
             }
--- a/crates/sidecar/src/edge/request_assembly.rs
+++ b/crates/sidecar/src/edge/request_assembly.rs
@@ -41,7 +41,7 @@
     },
     /// Passing on a longer body chunk by chunk.
     Streaming {
-        /// Receives the chunks; `None` once the receiver is gone.
+        /// Where the chunks are sent; `None` once the receiver is gone.
         sender: Option<ChunkSender>,
         /// A chunk that waits for space in the queue.
         pending: Option<Bytes>,
--- a/crates/sidecar/src/edge/request_handler.rs
+++ b/crates/sidecar/src/edge/request_handler.rs
@@ -59,7 +59,7 @@
     response
 }
 
-/// Records a failed call with its parent request, which is expected to fail in consequence.
+/// Records a failed call, so that the failure of its parent that follows is attributed to it.
 fn report_failed_call(node: &Node, outcome: &Outcome, response: &Response) {
     let Origin::Call(parent) = outcome.origin else { return };
     if response.head.status < 400 {
--- a/crates/sidecar/src/edge/tenant_checks.rs
+++ b/crates/sidecar/src/edge/tenant_checks.rs
@@ -45,5 +45,5 @@
     let Some(tenant) = tenant else { return Ok(None) };
     let draw = node.random(|random| random.random::<f64>());
     let reservation = node.access.reserve_quota(tenant, draw, now);
-    reservation.map_err(|excess| LocalResponse::OverQuota { retry_after: excess.retry_after })
+    reservation.map_err(|exceeded| LocalResponse::OverQuota { retry_after: exceeded.retry_after })
 }
--- a/crates/sidecar/src/lineage/evidence.rs
+++ b/crates/sidecar/src/lineage/evidence.rs
@@ -21,7 +21,8 @@
 /// What one request by itself indicates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEvidence {
-    /// Its id extends the id of a running request, and its deadline is not later.
+    /// Its id extends the id of a running request, and its deadline is not later, allowing for calls that are
+    /// read late.
     NestedId,
     /// It has the same deadline as a running request.
     SameDeadline,
--- a/crates/sidecar/src/lineage/mod.rs
+++ b/crates/sidecar/src/lineage/mod.rs
@@ -14,8 +14,8 @@
 //! - A route whose requests have so far come on the instance's connections is a call route.
 //!
 //! The parent is then *certain* (identified by the id), *probable* (the only running request that fits) or
-//! *unknown*. A call that fails makes its parent fail at once. Its fault is stored with the parent, or with
-//! its time where the parent is unknown, and explains the next failure.
+//! *unknown*. A call that fails makes its parent fail at once. Its fault is stored with the parent if that is
+//! certain, otherwise with the time of the failure, and explains the next failure.
 
 mod evidence;
 
