--- a/crates/sidecar/src/directory/leaving.rs
+++ b/crates/sidecar/src/directory/leaving.rs
@@ -1,7 +1,7 @@
-//! Instances that have said in their answers that they leave.
+//! Instances that announced in their responses that they are leaving.
 //!
-//! What they say goes before the source's, which may hear of it later or never. A statement ends with the start of
-//! the instance that made it: one that starts again under its name has not said so.
+//! Such an announcement takes precedence over the source, which may hear of it later or never. It applies to
+//! one incarnation: an instance that restarts under its name has not announced anything.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,47 +10,47 @@
 
 use crate::model::{Incarnation, Instance};
 
-/// How long it is remembered of an instance that is not listed.
-const MEMORY: Duration = Duration::from_secs(60);
+/// How long an announcement is kept for an instance that is not listed.
+const NOTICE_MEMORY: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Clone, Copy)]
-struct Statement {
+struct LeavingNotice {
     incarnation: Incarnation,
     at: Moment,
 }
 
-/// Which instances have said that they leave.
+/// The instances that announced that they are leaving.
 #[derive(Debug, Default)]
-pub(super) struct SaidLeaving {
-    statements: HashMap<InstanceName, Statement>,
+pub(super) struct LeavingNotices {
+    notices: HashMap<InstanceName, LeavingNotice>,
 }
 
-impl SaidLeaving {
-    /// This start of the instance `name` has said so. True when that was not known.
+impl LeavingNotices {
+    /// Records that this incarnation of the instance `name` is leaving. Returns false if that was known
+    /// already.
     pub(super) fn note(&mut self, name: &InstanceName, incarnation: Incarnation, now: Moment) -> bool {
-        if self.holds_for(name, incarnation) {
+        if self.has_announced(name, incarnation) {
             return false;
         }
-        self.statements.insert(name.clone(), Statement { incarnation, at: now });
+        self.notices.insert(name.clone(), LeavingNotice { incarnation, at: now });
         true
     }
 
-    /// The start of an instance is told that was not before.
-    pub(super) fn learn_start(&mut self, instance: &Instance) {
-        let statement =
-            self.statements.get_mut(&instance.name).filter(|statement| !statement.incarnation.is_known());
-        if let Some(statement) = statement {
-            statement.incarnation = instance.incarnation;
+    /// Fills in the incarnation of an instance whose incarnation was unknown when it announced its leaving.
+    pub(super) fn set_incarnation(&mut self, instance: &Instance) {
+        let notice = self.notices.get_mut(&instance.name).filter(|notice| !notice.incarnation.is_known());
+        if let Some(notice) = notice {
+            notice.incarnation = instance.incarnation;
         }
     }
 
-    /// True when this start of the instance `name`, or a later one, has said so.
-    pub(super) fn holds_for(&self, name: &InstanceName, incarnation: Incarnation) -> bool {
-        self.statements.get(name).is_some_and(|statement| !statement.incarnation.is_before(incarnation))
+    /// Returns true if this incarnation of the instance `name`, or a later one, announced that it is leaving.
+    pub(super) fn has_announced(&self, name: &InstanceName, incarnation: Incarnation) -> bool {
+        self.notices.get(name).is_some_and(|notice| !notice.incarnation.is_before(incarnation))
     }
 
-    /// Forgets what is old of instances that `is_known` is false of.
-    pub(super) fn forget(&mut self, now: Moment, is_known: impl Fn(&InstanceName) -> bool) {
-        self.statements.retain(|name, statement| is_known(name) || now.since(statement.at) < MEMORY);
+    /// Drops old announcements of instances for which `is_known` returns false.
+    pub(super) fn prune(&mut self, now: Moment, is_known: impl Fn(&InstanceName) -> bool) {
+        self.notices.retain(|name, notice| is_known(name) || now.since(notice.at) < NOTICE_MEMORY);
     }
 }
--- a/crates/sidecar/src/directory/local_evidence.rs
+++ b/crates/sidecar/src/directory/local_evidence.rs
@@ -1,5 +1,5 @@
-//! What is believed beside the source's word: entries that are held, the word of gates, what was seen on
-//! the way to an instance; and when that ends.
+//! What a node believes in addition to the source's list, and when that expires: retained entries,
+//! attestations of gates, and what was observed while connecting to an instance.
 
 use std::collections::HashSet;
 use std::net::{IpAddr, SocketAddr};
@@ -8,193 +8,204 @@
 
 use olivegate_types::{InstanceName, Moment};
 
-use super::retention::{Hold, HoldReason, SourceHealth};
+use super::retention::{Retention, RetentionReason, SourceHealth};
 use super::{Directory, Entry, InstanceStatus, MACHINE_MEMORY};
 use crate::model::{Incarnation, Instance, InstanceState, Revision};
 
-/// An attestation that lasts longer by this much is news.
-const NEWS_OF_HOLD: Duration = Duration::from_secs(1);
+/// An attestation is passed on to other nodes if it extends the known one by at least this much.
+const MIN_EXTENSION: Duration = Duration::from_secs(1);
 
 impl Directory {
-    /// Notes that the source does not answer this node: what goes missing may live.
-    pub fn note_source_away(&mut self) {
-        if !matches!(self.source, SourceHealth::Away { .. }) {
-            self.source = SourceHealth::Away { seen: None };
+    /// Records that the source does not answer this node. An entry that goes missing may belong to a live
+    /// instance.
+    pub fn note_source_unreachable(&mut self) {
+        if !matches!(self.source, SourceHealth::Unreachable { .. }) {
+            self.source = SourceHealth::Unreachable { answered_peer_at: None };
         }
     }
 
-    /// Notes that the source answered another node at `at`: for this one it may be away longer,
-    /// by a fault of its own or since it asks seldom, but live instances write to it again.
-    pub fn note_source_seen(&mut self, at: Moment) {
-        if let SourceHealth::Away { seen: seen @ None } = &mut self.source {
-            *seen = Some(at);
+    /// Records that the source answered another node at `at`. It may stay unreachable for this node, because
+    /// of a network fault or because this node rarely calls it, but live instances can write to it again.
+    pub fn note_source_answered_peer(&mut self, at: Moment) {
+        if let SourceHealth::Unreachable { answered_peer_at: answered_at @ None } = &mut self.source {
+            *answered_at = Some(at);
         }
     }
 
-    /// Notes that the source has answered; to be told before what it said is taken over.
+    /// Records that the source answered. To be called before its answer is applied.
     pub fn note_source_answered(&mut self, now: Moment) {
-        let SourceHealth::Away { seen } = self.source else { return };
-        let returned = seen.unwrap_or(now);
-        self.source = SourceHealth::Returned(returned);
-        let until = returned + self.policy.rewritten_within;
-        let holds = self.entries.values_mut().filter_map(|entry| entry.hold.as_mut());
-        holds.for_each(|hold| hold.until = hold.until.max(until));
+        let SourceHealth::Unreachable { answered_peer_at } = self.source else { return };
+        let recovered_at = answered_peer_at.unwrap_or(now);
+        self.source = SourceHealth::Recovered(recovered_at);
+        let until = recovered_at + self.policy.rewritten_within;
+        let retentions = self.entries.values_mut().filter_map(|entry| entry.retention.as_mut());
+        retentions.for_each(|retention| retention.until = retention.until.max(until));
     }
 
-    /// Ends holds whose time is over; call every second or so. True when anything changed.
+    /// Expires retained entries, tombstones and other records; to be called about once a second. Returns true
+    /// if anything changed.
     pub fn expire(&mut self, now: Moment) -> bool {
-        self.forget_old_removals(now);
-        let (entries, gone) = (&self.entries, &self.gone);
-        self.said_leaving.forget(now, |name| entries.contains_key(name) || gone.contains_key(name));
+        self.expire_tombstones(now);
+        let (entries, tombstones) = (&self.entries, &self.tombstones);
+        self.leaving_notices.prune(now, |name| entries.contains_key(name) || tombstones.contains_key(name));
         let listed: HashSet<IpAddr> = self.entries.values().map(|entry| entry.instance.address.ip()).collect();
         self.machines.retain(|ip, machine| listed.contains(ip) || now.since(machine.seen) < MACHINE_MEMORY);
         let source = self.source;
-        let is_over = |entry: &Entry| entry.hold.is_some_and(|hold| hold.is_over(source, now));
+        let is_expired =
+            |entry: &Entry| entry.retention.is_some_and(|retention| retention.is_expired(source, now));
         let ended: Vec<InstanceName> =
-            self.entries.iter().filter(|(_, entry)| is_over(entry)).map(|(name, _)| name.clone()).collect();
-        let mut changed = self.end_doubts(now);
+            self.entries.iter().filter(|(_, entry)| is_expired(entry)).map(|(name, _)| name.clone()).collect();
+        let mut changed = self.end_unverified(now);
         for name in ended {
-            changed |= self.forget(&name, self.removal_of(&name), now);
+            changed |= self.delete(&name, self.removal_revision(&name), now);
         }
-        self.finish(self.revision, changed)
+        self.commit(self.revision, changed)
     }
 
-    /// An entry that has stood for longer than a silent one does is renewed by its instance. Nothing
-    /// shows that while the source is away.
-    fn end_doubts(&mut self, now: Moment) -> bool {
-        if matches!(self.source, SourceHealth::Away { .. }) {
+    /// Ends the verification of entries that outlived the expiry of an entry that is not renewed: their
+    /// instances renew them. While the source is unreachable, the age of an entry does not show that.
+    fn end_unverified(&mut self, now: Moment) -> bool {
+        if matches!(self.source, SourceHealth::Unreachable { .. }) {
             return false;
         }
-        let is_over = |entry: &&mut Entry| entry.doubted_until.is_some_and(|until| now >= until);
-        let ended = self.entries.values_mut().filter(is_over);
-        ended.map(|entry| entry.doubted_until = None).count() > 0
+        let is_expired = |entry: &&mut Entry| entry.unverified_until.is_some_and(|until| now >= until);
+        let ended = self.entries.values_mut().filter(is_expired);
+        ended.map(|entry| entry.unverified_until = None).count() > 0
     }
 
-    fn forget_old_removals(&mut self, now: Moment) {
-        let mut forgotten = self.gone_since;
-        self.gone.retain(|_, tombstone| {
+    fn expire_tombstones(&mut self, now: Moment) {
+        let mut forgotten = self.tombstones_since;
+        self.tombstones.retain(|_, tombstone| {
             let is_kept = now.since(tombstone.since) < MACHINE_MEMORY;
             if !is_kept {
                 forgotten = forgotten.max(tombstone.revision);
             }
             is_kept
         });
-        self.gone_since = forgotten;
+        self.tombstones_since = forgotten;
     }
 
-    /// An instance is known to be gone from its own machine, whatever the source says.
+    /// Records that an instance was found to be gone, on its own machine or on the way there, whatever the
+    /// source lists. Returns true if anything changed.
     pub fn note_gone(&mut self, name: &InstanceName, now: Moment) -> bool {
-        let changed = self.forget(name, self.removal_of(name), now);
-        if let Some(tombstone) = self.gone.get_mut(name) {
-            tombstone.is_seen = true;
+        let changed = self.delete(name, self.removal_revision(name), now);
+        if let Some(tombstone) = self.tombstones.get_mut(name) {
+            tombstone.is_confirmed = true;
         }
-        self.finish(self.revision, changed)
+        self.commit(self.revision, changed)
     }
 
-    /// This start of an instance has said in an answer that it leaves. True when that changes anything.
+    /// Records that this incarnation of an instance announced in a response that it is leaving. Returns true
+    /// if anything changed.
     pub fn note_leaving(&mut self, name: &InstanceName, incarnation: Incarnation, now: Moment) -> bool {
-        let changed = self.said_leaving.note(name, incarnation, now);
-        self.finish(self.revision, changed)
+        let changed = self.leaving_notices.note(name, incarnation, now);
+        self.commit(self.revision, changed)
     }
 
-    /// An instance was met on its own machine before the source lists it. It is believed for
-    /// as long as that may take.
+    /// Adds an instance that was found on its own machine before the source lists it, for as long as listing
+    /// may take. Returns true if it was added.
     pub fn observe(&mut self, instance: Instance, now: Moment) -> bool {
         if self.status(&instance.name) != InstanceStatus::Unknown {
             return false;
         }
-        let hold =
-            Hold { reason: HoldReason::Met, until: now + self.policy.listed_within, removed: Revision::default() };
-        self.believe(instance, hold, now);
+        let retention = Retention {
+            reason: RetentionReason::Observed,
+            until: now + self.policy.listed_within,
+            removed: Revision::default(),
+        };
+        self.insert_retained(instance, retention, now);
         true
     }
 
-    /// The gate on its machine attests until `until` that an instance lives whose entry is
-    /// gone. True when that is news which is to be passed on.
+    /// Records that the gate on an instance's machine attests, until `until`, that the instance is alive
+    /// although its entry was removed. Returns true if other nodes are to be told.
     pub fn attest(&mut self, instance: Instance, until: Moment, now: Moment) -> bool {
-        if self.left_as_draining(&instance) || self.is_leaving(&instance) {
+        if self.was_draining_when_removed(&instance) || self.is_leaving(&instance) {
             return false;
         }
-        let removed = self.removal_of(&instance.name);
-        let hold = Hold { reason: HoldReason::Attested, until, removed };
+        let removed = self.removal_revision(&instance.name);
+        let retention = Retention { reason: RetentionReason::Attested, until, removed };
         let Some(entry) = self.entries.get_mut(&instance.name) else {
-            self.believe(instance, hold, now);
+            self.insert_retained(instance, retention, now);
             return true;
         };
-        let is_news = entry.hold.is_some_and(|known| until.since(known.until) >= NEWS_OF_HOLD);
+        let is_news = entry.retention.is_some_and(|known| until.since(known.until) >= MIN_EXTENSION);
         if is_news {
-            entry.hold = Some(hold);
+            entry.retention = Some(retention);
         }
         is_news
     }
 
-    /// The gate of an instance knows better than the word that its entry went away.
+    /// Returns true if the gate of an instance attests that it is alive, which overrides the removal of its
+    /// entry.
     pub(super) fn is_attested(&self, name: &InstanceName) -> bool {
-        let hold = self.entries.get(name).and_then(|entry| entry.hold);
-        hold.is_some_and(|hold| hold.reason == HoldReason::Attested)
+        let retention = self.entries.get(name).and_then(|entry| entry.retention);
+        retention.is_some_and(|retention| retention.reason == RetentionReason::Attested)
     }
 
-    /// The change that took the entry of an instance away, where that is known.
-    pub(super) fn removal_of(&self, name: &InstanceName) -> Revision {
-        let held = self.entries.get(name).and_then(|entry| entry.hold).map(|hold| hold.removed);
-        held.or(self.gone.get(name).map(|tombstone| tombstone.revision)).unwrap_or_default()
+    /// Returns the change that removed the entry of an instance; the default if it is not known.
+    pub(super) fn removal_revision(&self, name: &InstanceName) -> Revision {
+        let retained = self.entries.get(name).and_then(|entry| entry.retention).map(|retention| retention.removed);
+        retained.or(self.tombstones.get(name).map(|tombstone| tombstone.revision)).unwrap_or_default()
     }
 
-    /// An instance said that it leaves before its entry went.
-    fn left_as_draining(&self, instance: &Instance) -> bool {
-        let left = self.gone.get(&instance.name).map(|tombstone| &tombstone.instance);
-        left.is_some_and(|left| {
-            left.state == InstanceState::Draining && !instance.incarnation.differs_from(left.incarnation)
+    /// Returns true if this incarnation of an instance was draining when its entry was removed.
+    fn was_draining_when_removed(&self, instance: &Instance) -> bool {
+        let removed = self.tombstones.get(&instance.name).map(|tombstone| &tombstone.instance);
+        removed.is_some_and(|removed| {
+            removed.state == InstanceState::Draining && !instance.incarnation.differs_from(removed.incarnation)
         })
     }
 
-    fn believe(&mut self, instance: Instance, hold: Hold, now: Moment) {
+    fn insert_retained(&mut self, instance: Instance, retention: Retention, now: Moment) {
         self.note_machine(&instance, now);
         let name = instance.name.clone();
-        self.gone.remove(&name);
+        self.tombstones.remove(&name);
         let entry = Entry {
             instance: Rc::new(instance),
             revision: Revision::default(),
-            hold: Some(hold),
-            doubted_until: None,
+            retention: Some(retention),
+            unverified_until: None,
         };
         self.entries.insert(name, entry);
-        self.finish(self.revision, true);
+        self.commit(self.revision, true);
     }
 
-    /// The instance at `address` that the source does not list any more, or not yet, although
-    /// nothing here shows that it is gone or leaves.
+    /// Returns the instance at `address` that the source no longer lists, or does not list yet, unless this
+    /// node knows that it is gone or leaving.
     pub fn unlisted_at(&self, address: SocketAddr) -> Option<Rc<Instance>> {
         let known = self.entries.values().filter(|entry| entry.instance.address == address);
         if let Some(entry) = known.max_by_key(|entry| entry.revision) {
-            let may_live = entry.hold.is_some() && !self.is_leaving(&entry.instance);
-            return may_live.then(|| entry.instance.clone());
+            let may_be_alive = entry.retention.is_some() && !self.is_leaving(&entry.instance);
+            return may_be_alive.then(|| entry.instance.clone());
         }
-        let removed = self.gone.values().filter(|tombstone| tombstone.instance.address == address);
+        let removed = self.tombstones.values().filter(|tombstone| tombstone.instance.address == address);
         let last = removed.max_by_key(|tombstone| tombstone.since)?;
-        (!last.is_seen && !self.is_leaving(&last.instance)).then(|| last.instance.clone())
+        (!last.is_confirmed && !self.is_leaving(&last.instance)).then(|| last.instance.clone())
     }
 
-    /// The gate of an instance whose entry went away says that it is gone. True when anything
-    /// changed.
+    /// Removes an instance after its gate confirmed that it is gone, if its entry is retained for that
+    /// confirmation. Returns true if anything changed.
     pub fn confirm_gone(&mut self, name: &InstanceName, now: Moment) -> bool {
-        let hold = self.entries.get(name).and_then(|entry| entry.hold);
-        hold.is_some_and(|hold| hold.reason == HoldReason::Unconfirmed) && self.note_gone(name, now)
+        let retention = self.entries.get(name).and_then(|entry| entry.retention);
+        retention.is_some_and(|retention| retention.reason == RetentionReason::Unconfirmed)
+            && self.note_gone(name, now)
     }
 
-    /// An instance that is not listed was not found. True when anything changed.
+    /// Removes an instance that is retained without being listed, after it was not found at its address.
+    /// Returns true if anything changed.
     pub fn remove_unlisted(&mut self, name: &InstanceName, now: Moment) -> bool {
-        let is_held = self.entries.get(name).is_some_and(|entry| entry.hold.is_some());
-        is_held && self.note_gone(name, now)
+        let is_retained = self.entries.get(name).is_some_and(|entry| entry.retention.is_some());
+        is_retained && self.note_gone(name, now)
     }
 
-    /// True when it was not held before.
-    pub(super) fn hold(&mut self, name: &InstanceName, hold: Hold) -> bool {
+    /// Retains an entry, or extends its retention. Returns true if it was not retained before.
+    pub(super) fn retain(&mut self, name: &InstanceName, retention: Retention) -> bool {
         let Some(entry) = self.entries.get_mut(name) else { return false };
-        let was_held = entry.hold.is_some();
-        if entry.hold.is_none_or(|known| known.until < hold.until) {
-            entry.hold = Some(hold);
+        let was_retained = entry.retention.is_some();
+        if entry.retention.is_none_or(|known| known.until < retention.until) {
+            entry.retention = Some(retention);
         }
-        !was_held
+        !was_retained
     }
 }
--- a/crates/sidecar/src/directory/mod.rs
+++ b/crates/sidecar/src/directory/mod.rs
@@ -1,26 +1,25 @@
-//! The instances that are known, and when one is no longer believed.
+//! The directory of known instances.
 //!
-//! The source's word binds: an instance that is draining or gone gets no new requests.
-//! But a source that was away may have lost entries of instances that live; these write
-//! theirs again soon after its return. An entry that is found missing on that return is
-//! *held*: it stays in use until it comes back, says that it drains, or its time to be
-//! written again is over. Copies carry what is left of that time, so that all nodes end a
-//! hold together.
+//! The source is authoritative: an instance that it lists as draining, or no longer lists, gets no new
+//! requests. After an outage, however, the source may have lost the entries of live instances, which write
+//! them again soon after it recovers. An entry that is missing after an outage is therefore *retained*: it
+//! stays in use until it is listed again, is listed as draining, or the time for writing it again has passed.
+//! Updates between nodes carry the time that remains, so that all nodes end a retention together.
 //!
-//! An entry also goes when its machine alone is cut off from the source. The gate there can
-//! tell, and attests that its instance lives. So an entry that goes in calm is held, too, for
-//! the moment that its gate needs to say so or to refuse.
+//! An entry also expires when only its instance's machine is cut off from the source. The gate on that
+//! machine detects this and attests that the instance is alive. So an entry that is removed while the source
+//! is healthy is retained as well, for the time that the gate needs to attest or to confirm the removal.
 //!
-//! A source that lost what it had acknowledged begins a new epoch, with a state older than what is
-//! known here. That state is taken over as all that the source holds, but nothing of what was
-//! learnt of instances is forgotten for it.
+//! A source that lost acknowledged writes begins a new epoch with a state older than the one known here. A
+//! node adopts that state as everything the source holds, but keeps what it learned about instances in the
+//! meantime.
 //!
-//! - `source_update`: taking over what the source says.
-//! - `local_evidence`: what is believed beside that, and when it ends.
-//! - [`retention`]: how long an instance that is not listed is believed.
-//! - `leaving`: instances that say themselves that they leave.
-//! - `prior`: what was known of an instance that is listed anew.
-//! - [`peer_update`]: what nodes pass on.
+//! - `source_update`: applies lists and changes from the source.
+//! - `local_evidence`: what is believed in addition, and when it expires.
+//! - [`retention`]: how long an instance that is not listed stays in use.
+//! - `leaving`: instances that announce themselves that they are leaving.
+//! - `prior`: what was known of an instance that is listed again.
+//! - [`peer_update`]: directory state that nodes send each other.
 
 mod leaving;
 mod local_evidence;
@@ -38,40 +37,40 @@
 
 use crate::model::{Epoch, Incarnation, Instance, InstanceState, Revision};
 use crate::source::ListedInstance;
-use leaving::SaidLeaving;
-use retention::{Hold, HoldPolicy, SourceHealth};
+use leaving::LeavingNotices;
+use retention::{Retention, RetentionPolicy, SourceHealth};
 
-/// How long machines are remembered after their last entry.
+/// How long a machine is remembered after its last entry, and a tombstone after the removal.
 const MACHINE_MEMORY: Duration = Duration::from_secs(60);
 
-/// What the directory says about one instance.
+/// Status of one instance in the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceStatus {
-    /// It takes requests.
+    /// Listed or retained; takes requests.
     Ready,
-    /// It takes no new requests.
+    /// Leaving; takes no new requests.
     Draining,
-    /// It was listed once and is gone.
+    /// Removed, or listed again but not yet verified.
     Gone,
-    /// It was never listed.
+    /// Never listed.
     Unknown,
 }
 
-/// Remembers that an entry went away.
+/// Record of a removed entry.
 #[derive(Debug, Clone)]
 struct Tombstone {
-    /// As it was listed last.
+    /// The instance as it was last listed.
     instance: Rc<Instance>,
-    /// The change that removed it; the default when only this node saw that it is gone.
+    /// The change that removed it; the default if only this node found that it is gone.
     revision: Revision,
-    /// Epoch in which that was learnt.
+    /// The epoch in which the removal was learned.
     epoch: Epoch,
-    /// It was seen, on its machine or on the way there, that it is gone.
-    is_seen: bool,
+    /// The removal was confirmed on the instance's machine or on the way there.
+    is_confirmed: bool,
     since: Moment,
 }
 
-/// A machine that has, or lately had, an instance.
+/// A machine that has, or recently had, an instance.
 #[derive(Debug, Clone)]
 struct Machine {
     zone: ZoneName,
@@ -82,109 +81,110 @@
 struct Entry {
     instance: Rc<Instance>,
     revision: Revision,
-    /// The source does not list it, but it is believed for now.
-    hold: Option<Hold>,
-    /// The source lists it, but until then it may be an entry that nobody renews.
-    doubted_until: Option<Moment>,
+    /// Set if the source does not list the entry but it stays in use for now.
+    retention: Option<Retention>,
+    /// Set for an entry that the source lists again after an epoch change although it had been removed. It is
+    /// not used until then, because its instance may not renew it.
+    unverified_until: Option<Moment>,
 }
 
-/// The instances that are known.
+/// The known instances, their status and their machines.
 #[derive(Debug)]
 pub struct Directory {
-    policy: HoldPolicy,
+    policy: RetentionPolicy,
     revision: Revision,
     entries: BTreeMap<InstanceName, Entry>,
-    gone: HashMap<InstanceName, Tombstone>,
-    /// Removals after this one are all in `gone`.
-    gone_since: Revision,
-    said_leaving: SaidLeaving,
+    tombstones: HashMap<InstanceName, Tombstone>,
+    /// All removals after this change are in `tombstones`.
+    tombstones_since: Revision,
+    leaving_notices: LeavingNotices,
     machines: HashMap<IpAddr, Machine>,
     source: SourceHealth,
-    /// When the present epoch was met, unless it is the source's first.
-    epoch_met: Option<Moment>,
-    /// Instances that have started again under their names, until they are taken.
+    /// When the current epoch was first seen; `None` in the source's first epoch.
+    epoch_first_seen: Option<Moment>,
+    /// Instances that restarted under their names since the last call of `take_restarted`.
     restarted: Vec<InstanceName>,
     ready: HashMap<ServiceName, Rc<Vec<Rc<Instance>>>>,
 }
 
 impl Directory {
-    /// An empty directory.
-    pub fn new(policy: HoldPolicy) -> Self {
+    /// Creates an empty directory.
+    pub fn new(policy: RetentionPolicy) -> Self {
         Directory {
             policy,
             revision: Revision::default(),
             entries: BTreeMap::new(),
-            gone: HashMap::new(),
-            gone_since: Revision::default(),
-            said_leaving: SaidLeaving::default(),
+            tombstones: HashMap::new(),
+            tombstones_since: Revision::default(),
+            leaving_notices: LeavingNotices::default(),
             machines: HashMap::new(),
             source: SourceHealth::default(),
-            epoch_met: None,
+            epoch_first_seen: None,
             restarted: Vec::new(),
             ready: HashMap::new(),
         }
     }
 
-    /// State of the source that the directory shows.
+    /// Returns the revision of the source up to which the directory is current.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Instances that take requests of `service`, in a fixed order.
+    /// Returns the instances that take requests of `service`, in a fixed order.
     pub fn ready_instances(&self, service: &ServiceName) -> Rc<Vec<Rc<Instance>>> {
         self.ready.get(service).cloned().unwrap_or_default()
     }
 
-    /// Number of instances that take requests, of all services.
+    /// Returns the number of instances that take requests, over all services.
     pub fn ready_count(&self) -> usize {
         self.ready.values().map(|instances| instances.len()).sum()
     }
 
-    /// What is known about one instance.
+    /// Returns the status of one instance.
     pub fn status(&self, name: &InstanceName) -> InstanceStatus {
         match self.entries.get(name) {
             Some(entry) if self.is_leaving(&entry.instance) => InstanceStatus::Draining,
-            Some(entry) if entry.doubted_until.is_some() => InstanceStatus::Gone,
+            Some(entry) if entry.unverified_until.is_some() => InstanceStatus::Gone,
             Some(_) => InstanceStatus::Ready,
-            None if self.gone.contains_key(name) => InstanceStatus::Gone,
+            None if self.tombstones.contains_key(name) => InstanceStatus::Gone,
             None => InstanceStatus::Unknown,
         }
     }
 
-    /// True when the source or the instance itself says that it leaves.
+    /// Returns true if the source lists the instance as draining or it announced itself that it is leaving.
     fn is_leaving(&self, instance: &Instance) -> bool {
         instance.state == InstanceState::Draining
             || self.has_announced_leaving(&instance.name, instance.incarnation)
     }
 
-    /// True when this start of an instance, or a later one, has said that it leaves.
+    /// Returns true if this incarnation of an instance, or a later one, announced that it is leaving.
     pub fn has_announced_leaving(&self, name: &InstanceName, incarnation: Incarnation) -> bool {
-        self.said_leaving.holds_for(name, incarnation)
+        self.leaving_notices.has_announced(name, incarnation)
     }
 
-    /// A listed instance.
+    /// Returns a listed or retained instance.
     pub fn instance(&self, name: &InstanceName) -> Option<Rc<Instance>> {
         self.entries.get(name).map(|entry| entry.instance.clone())
     }
 
-    /// The instance listed at `address`; the latest one when several are.
+    /// Returns the instance listed at `address`; the most recently changed one if there are several.
     pub fn instance_at(&self, address: SocketAddr) -> Option<Rc<Instance>> {
         let listed = self.entries.values().filter(|entry| entry.instance.address == address);
         listed.max_by_key(|entry| entry.revision).map(|entry| entry.instance.clone())
     }
 
-    /// Addresses of machines that have, or lately had, an instance.
+    /// Returns the addresses of machines that have, or recently had, an instance.
     pub fn machines(&self) -> impl Iterator<Item = IpAddr> {
         self.machines.keys().copied()
     }
 
-    /// Those of one zone.
+    /// Returns the machines of one zone.
     pub fn machines_of_zone(&self, zone: &ZoneName) -> Vec<IpAddr> {
         let in_zone = self.machines.iter().filter(|(_, machine)| machine.zone == *zone);
         in_zone.map(|(ip, _)| *ip).collect()
     }
 
-    /// Zones that have machines.
+    /// Returns the zones that have machines.
     pub fn zones(&self) -> BTreeSet<&ZoneName> {
         self.machines.values().map(|machine| &machine.zone).collect()
     }
@@ -194,39 +194,39 @@
         self.machines.insert(instance.address.ip(), machine);
     }
 
-    /// Notes the machines of a list that may be old; nothing else of it.
+    /// Records the machines of a list that may be stale, and nothing else of it.
     pub fn note_machines(&mut self, listed: &[ListedInstance], now: Moment) {
         listed.iter().for_each(|listed| self.note_machine(&listed.instance, now));
     }
 
-    /// Instances that have started again under their names since this was asked last.
+    /// Returns the instances that restarted under their names since the last call.
     pub fn take_restarted(&mut self) -> Vec<InstanceName> {
         std::mem::take(&mut self.restarted)
     }
 
-    /// Notes that all changes up to `revision` were followed.
+    /// Records that all changes up to `revision` were applied.
     pub fn advance(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Slots of the instances of `service`, where one is listed.
+    /// Returns the number of slots per instance of `service`, if one is listed.
     pub fn slots_of_service(&self, service: &ServiceName) -> Option<u32> {
         let same = self.entries.values().find(|entry| entry.instance.service == *service);
         same.map(|entry| entry.instance.slots)
     }
 
-    fn finish(&mut self, revision: Revision, changed: bool) -> bool {
+    fn commit(&mut self, revision: Revision, changed: bool) -> bool {
         self.advance(revision);
         if changed {
-            self.rebuild();
+            self.rebuild_ready();
         }
         changed
     }
 
-    fn rebuild(&mut self) {
+    fn rebuild_ready(&mut self) {
         let mut ready: HashMap<ServiceName, Vec<Rc<Instance>>> = HashMap::new();
         for entry in self.entries.values() {
-            if !self.is_leaving(&entry.instance) && entry.doubted_until.is_none() {
+            if !self.is_leaving(&entry.instance) && entry.unverified_until.is_none() {
                 ready.entry(entry.instance.service.clone()).or_default().push(entry.instance.clone());
             }
         }
--- a/crates/sidecar/src/directory/peer_update.rs
+++ b/crates/sidecar/src/directory/peer_update.rs
@@ -1,126 +1,133 @@
-//! What nodes pass on of the directory.
+//! Directory updates that nodes send each other.
 
 use std::collections::HashSet;
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_types::{InstanceName, Moment};
 
-use super::retention::{Hold, HoldReason, PassedHold};
+use super::retention::{Retention, RetentionReason, WireRetention};
 use super::{Directory, Entry, Tombstone};
 use crate::model::{Instance, Millis, Revision};
 use crate::source::ListedInstance;
 
-/// An entry as nodes pass it on.
+/// A directory entry as nodes send it.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct DirectoryEntry {
     /// The instance.
     pub instance: Instance,
-    /// Its last change.
+    /// The change that last wrote it.
     pub revision: Revision,
-    /// Why and how long it is still believed, when the source does not list it.
-    pub hold: Option<PassedHold>,
-    /// How long it is not used yet, since nobody may renew it.
-    pub doubted_for: Option<Millis>,
+    /// Why and for how long it stays in use, if the source does not list it.
+    pub retention: Option<WireRetention>,
+    /// For how long it is not used yet, because its instance may not renew it.
+    pub unverified_for: Option<Millis>,
 }
 
-/// An instance whose entry went away.
+/// An instance whose entry was removed.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct GoneEntry {
+pub struct RemovedEntry {
     /// The instance.
     pub name: InstanceName,
     /// The change that removed it.
     pub revision: Revision,
 }
 
-/// What a node passes on to one that knows less.
+/// The changes that another node lacks, or the full state.
 #[derive(Debug, Clone, PartialEq, Eq, Default, BorshSerialize, BorshDeserialize)]
 pub struct DirectoryUpdate {
-    /// The state that it adds to; `None` when it is all there is.
+    /// The revision that the update builds on; `None` for the full state.
     pub base: Option<Revision>,
-    /// Entries that are newer than the base, and all that are held.
+    /// Entries that are newer than the base, and all retained ones.
     pub entries: Vec<DirectoryEntry>,
-    /// Entries that went away since the base.
-    pub gone: Vec<GoneEntry>,
-    /// State of the source after it.
+    /// Entries that were removed since the base.
+    pub removed: Vec<RemovedEntry>,
+    /// Revision of the source after the update.
     pub revision: Revision,
 }
 
 impl Directory {
-    /// Takes over what another node knows, when that is newer. True when anything changed.
-    pub fn apply_update(&mut self, copy: &DirectoryUpdate, now: Moment) -> bool {
-        if copy.revision <= self.revision || copy.base.is_some_and(|base| base > self.revision) {
+    /// Applies an update from another node if it is newer. Returns true if anything changed.
+    pub fn apply_update(&mut self, update: &DirectoryUpdate, now: Moment) -> bool {
+        if update.revision <= self.revision || update.base.is_some_and(|base| base > self.revision) {
             return false;
         }
-        let is_new_epoch = self.enter_epoch(copy.revision.epoch, now);
+        let is_new_epoch = self.enter_epoch(update.revision.epoch, now);
         let mut changed = false;
-        if copy.base.is_none() {
-            let names: HashSet<&InstanceName> = copy.entries.iter().map(|entry| &entry.instance.name).collect();
+        if update.base.is_none() {
+            let names: HashSet<&InstanceName> = update.entries.iter().map(|entry| &entry.instance.name).collect();
             for name in self.missing_from(&names) {
-                // The other node may never have heard of it, and the source has lost it.
+                // The other node may never have known an instance that is missing from the update, and the
+                // source may have lost it.
                 changed |= if is_new_epoch {
-                    self.remove(&name, copy.revision, now)
+                    self.remove_or_retain(&name, update.revision, now)
                 } else {
-                    self.forget(&name, copy.revision, now)
+                    self.delete(&name, update.revision, now)
                 };
             }
-            self.gone_since = self.gone_since.max(copy.revision);
+            self.tombstones_since = self.tombstones_since.max(update.revision);
         }
-        for gone in &copy.gone {
-            let is_newer = self.entries.get(&gone.name).is_some_and(|entry| entry.revision < gone.revision);
-            changed |= is_newer && !self.is_attested(&gone.name) && self.forget(&gone.name, gone.revision, now);
+        for removed in &update.removed {
+            let is_newer = self.entries.get(&removed.name).is_some_and(|entry| entry.revision < removed.revision);
+            changed |=
+                is_newer && !self.is_attested(&removed.name) && self.delete(&removed.name, removed.revision, now);
         }
-        for entry in &copy.entries {
-            if self.was_seen_gone(entry) {
+        for entry in &update.entries {
+            if self.is_known_removed(entry) {
                 continue;
             }
             let listed = ListedInstance { instance: entry.instance.clone(), revision: entry.revision };
             let before = self.entries.get(&entry.instance.name).map(|own| own.revision);
             changed |= self.insert(&listed, now);
             if before != Some(entry.revision) {
-                changed |= self.doubt(entry, now);
+                changed |= self.mark_unverified(entry, now);
             }
             let is_same = self.entries.get(&entry.instance.name).is_some_and(|own| own.revision == entry.revision);
-            if let Some(passed) = entry.hold.as_ref().filter(|_| is_same) {
-                changed |= self.hold(&entry.instance.name, Hold::of_passed(passed, now));
+            if let Some(received) = entry.retention.as_ref().filter(|_| is_same) {
+                changed |= self.retain(&entry.instance.name, Retention::from_wire(received, now));
             }
         }
-        self.finish(copy.revision, changed)
+        self.commit(update.revision, changed)
     }
 
-    /// Takes over another node's doubt of an entry. True when that changes anything.
-    fn doubt(&mut self, passed: &DirectoryEntry, now: Moment) -> bool {
-        let Some(doubted_for) = passed.doubted_for else { return false };
-        let own = self.entries.get_mut(&passed.instance.name).filter(|own| own.revision == passed.revision);
+    /// Takes over that another node has not yet verified an entry. Returns true if anything changed.
+    fn mark_unverified(&mut self, received: &DirectoryEntry, now: Moment) -> bool {
+        let Some(unverified_for) = received.unverified_for else { return false };
+        let own = self.entries.get_mut(&received.instance.name).filter(|own| own.revision == received.revision);
         let Some(own) = own else { return false };
-        own.doubted_until = Some(now + doubted_for.duration());
+        own.unverified_until = Some(now + unverified_for.duration());
         true
     }
 
-    /// True for an entry that another node still believes since it waits for the word of the
-    /// instance's gate, while this node knows already that the instance is gone.
-    fn was_seen_gone(&self, entry: &DirectoryEntry) -> bool {
-        let is_unconfirmed = entry.hold.as_ref().is_some_and(|hold| hold.reason == HoldReason::Unconfirmed);
-        is_unconfirmed && self.gone.get(&entry.instance.name).is_some_and(|tombstone| tombstone.is_seen)
+    /// Returns true if another node retains an entry until the instance's gate confirms the removal, while
+    /// this node knows already that the instance is gone.
+    fn is_known_removed(&self, entry: &DirectoryEntry) -> bool {
+        let is_unconfirmed =
+            entry.retention.as_ref().is_some_and(|retention| retention.reason == RetentionReason::Unconfirmed);
+        is_unconfirmed && self.tombstones.get(&entry.instance.name).is_some_and(|tombstone| tombstone.is_confirmed)
     }
 
-    /// What a node that knows the state `known` lacks: the changes since, or everything when
-    /// removals since then are no longer remembered.
+    /// Returns what a node at revision `known` lacks: the changes since then, or the full state if the
+    /// removals since then have expired.
     pub fn update_since(&self, known: Revision, now: Moment) -> DirectoryUpdate {
-        let is_whole = known < self.gone_since || known == Revision::default();
-        let base = if is_whole { None } else { Some(known) };
-        let is_news = |entry: &&Entry| is_whole || entry.revision > known || entry.hold.is_some();
+        let is_full = known < self.tombstones_since || known == Revision::default();
+        let base = if is_full { None } else { Some(known) };
+        let is_news = |entry: &&Entry| is_full || entry.revision > known || entry.retention.is_some();
         let entries = self.entries.values().filter(is_news).map(|entry| DirectoryEntry {
             instance: Instance::clone(&entry.instance),
             revision: entry.revision,
-            hold: entry.hold.map(|hold| hold.to_passed(now)),
-            doubted_for: entry.doubted_until.map(|until| Millis::from_duration(until.since(now))),
+            retention: entry.retention.map(|retention| retention.to_wire(now)),
+            unverified_for: entry.unverified_until.map(|until| Millis::from_duration(until.since(now))),
         });
-        // A node of an earlier epoch may know what the source has lost, and not what has gone since.
+        // A node of an earlier epoch may know entries that the source lost, and lack later removals.
         let is_of_earlier_epoch = known != Revision::default() && known.epoch < self.revision.epoch;
-        let is_lacking = |revision: Revision| if is_whole { is_of_earlier_epoch } else { revision > known };
-        let is_told = |tombstone: &Tombstone| tombstone.revision != Revision::default();
-        let removed = self.gone.iter().filter(|(_, gone)| is_told(gone) && is_lacking(gone.revision));
-        let gone = removed.map(|(name, tombstone)| GoneEntry { name: name.clone(), revision: tombstone.revision });
-        DirectoryUpdate { base, entries: entries.collect(), gone: gone.collect(), revision: self.revision }
+        let is_lacking = |revision: Revision| if is_full { is_of_earlier_epoch } else { revision > known };
+        let is_from_source = |tombstone: &Tombstone| tombstone.revision != Revision::default();
+        let lacking = self
+            .tombstones
+            .iter()
+            .filter(|(_, tombstone)| is_from_source(tombstone) && is_lacking(tombstone.revision));
+        let removed =
+            lacking.map(|(name, tombstone)| RemovedEntry { name: name.clone(), revision: tombstone.revision });
+        DirectoryUpdate { base, entries: entries.collect(), removed: removed.collect(), revision: self.revision }
     }
 }
--- a/crates/sidecar/src/directory/prior.rs
+++ b/crates/sidecar/src/directory/prior.rs
@@ -1,58 +1,58 @@
-//! What a node knew of an instance before the source listed it anew.
+//! How the record of an instance affects an entry that the source lists anew.
 //!
-//! A source that came back from an older copy of itself lists instances as they were when the copy
-//! was taken. What a node has learnt since of the same start of an instance outlasts that: one
-//! that said that it leaves does not come back, and one whose entry went is used again only when it
-//! has written to the source since, or its entry has stood for longer than a silent one does.
+//! A source that was restored from a backup lists instances as they were when the backup was taken. What a
+//! node has learned since about the same incarnation takes precedence: an instance that was leaving stays out
+//! of use, and one whose entry was removed is used again only after it has written to the source, or after
+//! its entry has outlived the expiry of an entry that is not renewed.
 
 use crate::model::{Epoch, Instance, InstanceState};
 use crate::source::ListedInstance;
 
-/// What was known of an instance.
+/// What was known of an instance before it was listed anew.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Prior<'a> {
-    /// As it was listed last.
+pub(super) struct PriorRecord<'a> {
+    /// The instance as it was last listed.
     pub instance: &'a Instance,
-    /// Epoch in which that was learnt.
+    /// The epoch in which that was learned.
     pub epoch: Epoch,
-    /// Its entry had gone.
-    pub was_gone: bool,
+    /// Its entry was removed.
+    pub was_removed: bool,
 }
 
-/// How a listed entry is to be taken.
+/// How a listed entry is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Taken {
-    /// As it stands.
+pub(super) enum Disposition {
+    /// Unchanged.
     AsListed,
-    /// Not at all: it tells of an earlier start than the one that is known.
+    /// Not at all: it describes an earlier incarnation than the known one.
     Outdated,
-    /// The instance has said that it leaves.
+    /// As draining: the instance was leaving.
     StillLeaving,
-    /// The entry had gone before the copy was put in place: it may be one that nobody renews.
-    Doubted,
+    /// Not used yet: the entry had been removed before the source was restored, and may not be renewed.
+    Unverified,
 }
 
-impl Prior<'_> {
-    /// True when `listed` tells of a later start than the one that was known.
+impl PriorRecord<'_> {
+    /// Returns true if `listed` describes a later incarnation than the known one.
     pub fn has_restarted(self, listed: &ListedInstance) -> bool {
         self.instance.incarnation.is_before(listed.instance.incarnation)
     }
 
-    /// How `listed` is to be taken.
-    pub fn take(self, listed: &ListedInstance) -> Taken {
+    /// Decides how `listed` is applied.
+    pub fn disposition_of(self, listed: &ListedInstance) -> Disposition {
         let (known, told) = (self.instance.incarnation, listed.instance.incarnation);
         if told.is_before(known) {
-            return Taken::Outdated;
+            return Disposition::Outdated;
         }
         if told.differs_from(known) {
-            return Taken::AsListed;
+            return Disposition::AsListed;
         }
         let is_restored = listed.revision.epoch > self.epoch;
         let is_same_start = told == known && told.is_known();
         let was_leaving = self.instance.state == InstanceState::Draining;
         if was_leaving && (is_restored || is_same_start) {
-            return Taken::StillLeaving;
+            return Disposition::StillLeaving;
         }
-        if self.was_gone && is_restored { Taken::Doubted } else { Taken::AsListed }
+        if self.was_removed && is_restored { Disposition::Unverified } else { Disposition::AsListed }
     }
 }
--- a/crates/sidecar/src/directory/retention.rs
+++ b/crates/sidecar/src/directory/retention.rs
@@ -1,4 +1,4 @@
-//! How long an instance that the source does not list is believed.
+//! How long an instance stays in use that the source does not list.
 
 use std::time::Duration;
 
@@ -7,102 +7,113 @@
 
 use crate::model::{Millis, Revision};
 
-/// How long an entry that the source does not list is believed.
+/// How long an entry stays in use that the source does not list.
 #[derive(Debug, Clone, Copy)]
-pub struct HoldPolicy {
-    /// Time after the source's return within which a live instance has written a lost entry
-    /// again.
+pub struct RetentionPolicy {
+    /// Time after the source recovers within which a live instance writes a lost entry again.
     pub rewritten_within: Duration,
-    /// Time within which the gate of an instance whose entry went away says whether it lives.
+    /// Time within which the gate of an instance whose entry was removed attests that it is alive or
+    /// confirms the removal.
     pub confirmed_within: Duration,
-    /// Time that an instance which was met on its own machine takes to be listed.
+    /// Time until an instance that was found on its own machine is listed.
     pub listed_within: Duration,
-    /// Time within which an entry that nobody renews goes.
-    pub lapses_within: Duration,
+    /// Time within which an entry expires that its instance does not renew.
+    pub expires_within: Duration,
 }
 
-/// How the source fared when this node last read it.
+/// Whether the source answers, as this node knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) enum SourceHealth {
     /// It answers.
     #[default]
-    Calm,
+    Healthy,
     /// It does not answer this node.
-    Away {
-        /// When it answered another node meanwhile, for the first time that this one heard of.
-        seen: Option<Moment>,
+    Unreachable {
+        /// When it first answered another node since then.
+        answered_peer_at: Option<Moment>,
     },
-    /// It was away and has answered again since then.
-    Returned(Moment),
+    /// It was unreachable and answered again at this time.
+    Recovered(Moment),
 }
 
 impl SourceHealth {
-    /// How an entry that `removed` took away is believed now; `None` when it is gone.
-    pub fn hold_of_missing(self, policy: HoldPolicy, removed: Revision, now: Moment) -> Option<Hold> {
-        let unconfirmed = Hold { reason: HoldReason::Unconfirmed, until: now + policy.confirmed_within, removed };
-        let lapsed = |at| Hold { reason: HoldReason::Lapsed, until: at + policy.rewritten_within, removed };
-        let hold = match self {
-            SourceHealth::Calm => unconfirmed,
-            SourceHealth::Away { seen } => lapsed(seen.unwrap_or(now)),
-            SourceHealth::Returned(at) if lapsed(at).until > unconfirmed.until => lapsed(at),
-            SourceHealth::Returned(_) => unconfirmed,
+    /// Returns the retention of an entry that went missing with the change `removed`; `None` if it has none.
+    pub fn retention_of_missing(
+        self,
+        policy: RetentionPolicy,
+        removed: Revision,
+        now: Moment,
+    ) -> Option<Retention> {
+        let unconfirmed =
+            Retention { reason: RetentionReason::Unconfirmed, until: now + policy.confirmed_within, removed };
+        let after_outage = |at| Retention {
+            reason: RetentionReason::MissingAfterOutage,
+            until: at + policy.rewritten_within,
+            removed,
         };
-        (now < hold.until).then_some(hold)
+        let retention = match self {
+            SourceHealth::Healthy => unconfirmed,
+            SourceHealth::Unreachable { answered_peer_at } => after_outage(answered_peer_at.unwrap_or(now)),
+            SourceHealth::Recovered(at) if after_outage(at).until > unconfirmed.until => after_outage(at),
+            SourceHealth::Recovered(_) => unconfirmed,
+        };
+        (now < retention.until).then_some(retention)
     }
 }
 
-/// Why an instance is believed that the source does not list.
+/// Why an instance stays in use that the source does not list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum HoldReason {
-    /// Its entry was found missing when the source came back.
-    Lapsed,
-    /// Its entry went away, and its gate has not yet said whether it lives.
+pub enum RetentionReason {
+    /// Its entry was missing after an outage of the source.
+    MissingAfterOutage,
+    /// Its entry was removed, and its gate has not yet attested that it is alive or confirmed the removal.
     Unconfirmed,
-    /// It was met on its own machine before it was listed.
-    Met,
-    /// The gate on its machine, which the source does not reach, attests that it lives.
+    /// It was found on its own machine before it was listed.
+    Observed,
+    /// The gate on its machine, which is cut off from the source, attests that it is alive.
     Attested,
 }
 
-/// An instance that the source does not list is believed for a while.
+/// The limited time for which an unlisted instance stays in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Hold {
-    pub reason: HoldReason,
+pub(super) struct Retention {
+    pub reason: RetentionReason,
     pub until: Moment,
-    /// The change that removed the entry; the default when it was not listed before.
+    /// The change that removed the entry; the default if the instance was not listed before.
     pub removed: Revision,
 }
 
-/// A hold as nodes pass it on: their clocks differ.
+/// A retention as nodes send it, with a duration because their clocks differ.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct PassedHold {
-    /// Why the instance is believed.
-    pub reason: HoldReason,
-    /// How long it still is.
-    pub left: Millis,
-    /// The change that removed the entry; the default when it was not listed before.
+pub struct WireRetention {
+    /// Why the instance stays in use.
+    pub reason: RetentionReason,
+    /// For how long.
+    pub remaining: Millis,
+    /// The change that removed the entry; the default if the instance was not listed before.
     pub removed: Revision,
 }
 
-impl Hold {
-    /// A hold that another node has told of.
-    pub fn of_passed(passed: &PassedHold, now: Moment) -> Self {
-        Hold { reason: passed.reason, until: now + passed.left.duration(), removed: passed.removed }
+impl Retention {
+    /// Converts a retention received from another node.
+    pub fn from_wire(wire: &WireRetention, now: Moment) -> Self {
+        Retention { reason: wire.reason, until: now + wire.remaining.duration(), removed: wire.removed }
     }
 
-    /// To be passed on.
-    pub fn to_passed(self, now: Moment) -> PassedHold {
-        PassedHold {
+    /// Converts the retention for sending to another node.
+    pub fn to_wire(self, now: Moment) -> WireRetention {
+        WireRetention {
             reason: self.reason,
-            left: Millis::from_duration(self.until.since(now)),
+            remaining: Millis::from_duration(self.until.since(now)),
             removed: self.removed,
         }
     }
 
-    /// True when it has ended. Nothing that was met can be listed while the source is away.
-    pub fn is_over(self, source: SourceHealth, now: Moment) -> bool {
-        let is_away = matches!(source, SourceHealth::Away { .. });
-        let waits = self.reason == HoldReason::Met && is_away;
+    /// Returns true if the retention has ended. One of an observed instance does not end while the source is
+    /// unreachable, because the instance cannot be listed.
+    pub fn is_expired(self, source: SourceHealth, now: Moment) -> bool {
+        let is_unreachable = matches!(source, SourceHealth::Unreachable { .. });
+        let waits = self.reason == RetentionReason::Observed && is_unreachable;
         now >= self.until && !waits
     }
 }
--- a/crates/sidecar/src/directory/source_update.rs
+++ b/crates/sidecar/src/directory/source_update.rs
@@ -1,20 +1,20 @@
-//! Taking over what the source says: everything, changes, and the state of a new epoch.
+//! Applies what the source reports: full lists, changes, and the state of a new epoch.
 
 use std::collections::HashSet;
 use std::rc::Rc;
 
 use olivegate_types::{InstanceName, Moment};
 
-use super::prior::{Prior, Taken};
+use super::prior::{Disposition, PriorRecord};
 use super::retention::SourceHealth;
 use super::{Directory, Entry, InstanceStatus, Tombstone};
 use crate::model::{Epoch, InstanceState, Revision};
 use crate::source::{Change, ListedInstance};
 
 impl Directory {
-    /// Begins `epoch`, if it is later than the one known: what was learnt in that one is no longer
-    /// counted as known, but stays in force until the source has said otherwise. What is missing now
-    /// is written again as after an absence. True when it began.
+    /// Enters `epoch` if it is later than the known one. Entries of the earlier epoch stay in use until the
+    /// source reports otherwise, but no longer count as known; missing entries are expected to be written
+    /// again as after an outage. Returns true if the epoch was entered.
     pub(super) fn enter_epoch(&mut self, epoch: Epoch, now: Moment) -> bool {
         if self.revision == Revision::default() {
             self.note_first_epoch(epoch, now);
@@ -24,31 +24,31 @@
             return false;
         }
         self.revision = Revision::new(epoch, 0);
-        self.gone_since = self.revision;
-        self.epoch_met = Some(now);
-        self.note_source_seen(now);
+        self.tombstones_since = self.revision;
+        self.epoch_first_seen = Some(now);
+        self.note_source_answered_peer(now);
         match self.source {
-            SourceHealth::Away { .. } => {}
-            SourceHealth::Returned(at) if now.since(at) < self.policy.rewritten_within => {}
-            _ => self.source = SourceHealth::Returned(now),
+            SourceHealth::Unreachable { .. } => {}
+            SourceHealth::Recovered(at) if now.since(at) < self.policy.rewritten_within => {}
+            _ => self.source = SourceHealth::Recovered(now),
         }
         true
     }
 
-    /// A node that has just started cannot tell how long ago the source came back, if it ever did: what
-    /// it reads first may lack a withdrawal that was acknowledged.
+    /// A node that has just started cannot tell when the source was restored, if ever. Its first read may
+    /// lack a key withdrawal that the source had acknowledged.
     fn note_first_epoch(&mut self, epoch: Epoch, now: Moment) {
         if epoch > Epoch::default() {
-            self.epoch_met = Some(now);
+            self.epoch_first_seen = Some(now);
         }
     }
 
-    /// True while writes that the source lost may not yet have been written again.
+    /// Returns true while writes that the source lost may not have been written again yet.
     pub fn may_lack_writes(&self, now: Moment) -> bool {
-        self.epoch_met.is_some_and(|met| now.since(met) < self.policy.rewritten_within)
+        self.epoch_first_seen.is_some_and(|first_seen| now.since(first_seen) < self.policy.rewritten_within)
     }
 
-    /// Takes over everything that the source holds. True when anything changed.
+    /// Applies the full state of the source. Returns true if anything changed.
     pub fn apply_snapshot(&mut self, listed: &[ListedInstance], revision: Revision, now: Moment) -> bool {
         if revision < self.revision {
             return false;
@@ -57,37 +57,39 @@
         let names: HashSet<&InstanceName> = listed.iter().map(|entry| &entry.instance.name).collect();
         let mut changed = false;
         for name in self.missing_from(&names) {
-            changed |= self.remove(&name, revision, now);
+            changed |= self.remove_or_retain(&name, revision, now);
         }
         if self.revision == Revision::default() {
-            self.gone_since = revision;
+            self.tombstones_since = revision;
         }
         for entry in listed {
             changed |= self.insert(entry, now);
         }
-        self.finish(revision, changed)
+        self.commit(revision, changed)
     }
 
-    /// Follows one change. True when anything changed.
+    /// Applies one change. Returns true if anything changed.
     pub fn apply_change(&mut self, change: &Change, now: Moment) -> bool {
         let changed = match change {
             Change::Instance(listed) => self.insert(listed, now),
             Change::InstanceRemoved { name, revision } => {
                 let is_newer = self.entries.get(name).is_none_or(|entry| entry.revision < *revision);
-                is_newer && !self.is_attested(name) && self.remove(name, *revision, now)
+                is_newer && !self.is_attested(name) && self.remove_or_retain(name, *revision, now)
             }
             Change::Configuration(_) => false,
         };
-        self.finish(self.revision, changed)
+        self.commit(self.revision, changed)
     }
 
-    /// Entries that are not in `names`; those that are held end with their hold.
+    /// Returns the entries that are not in `names`, without retained ones, which end when their retention
+    /// does.
     pub(super) fn missing_from(&self, names: &HashSet<&InstanceName>) -> Vec<InstanceName> {
-        let missing = self.entries.iter().filter(|(name, entry)| !names.contains(name) && entry.hold.is_none());
+        let missing =
+            self.entries.iter().filter(|(name, entry)| !names.contains(name) && entry.retention.is_none());
         missing.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes over one entry, when it is newer than what is known. True when anything changed.
+    /// Applies one entry if it is newer than the known one. Returns true if anything changed.
     pub(super) fn insert(&mut self, listed: &ListedInstance, now: Moment) -> bool {
         let name = &listed.instance.name;
         self.note_machine(&listed.instance, now);
@@ -95,59 +97,64 @@
             return false;
         }
         let prior = self.prior_of(name);
-        let taken = prior.map_or(Taken::AsListed, |prior| prior.take(listed));
+        let disposition = prior.map_or(Disposition::AsListed, |prior| prior.disposition_of(listed));
         let has_restarted = prior.is_some_and(|prior| prior.has_restarted(listed));
         let mut instance = listed.instance.clone();
-        match taken {
-            Taken::Outdated => return false,
-            Taken::StillLeaving => instance.state = InstanceState::Draining,
-            Taken::AsListed | Taken::Doubted => {}
+        match disposition {
+            Disposition::Outdated => return false,
+            Disposition::StillLeaving => instance.state = InstanceState::Draining,
+            Disposition::AsListed | Disposition::Unverified => {}
         }
         if has_restarted {
             self.restarted.push(name.clone());
         }
-        self.said_leaving.learn_start(&instance);
-        let doubted_until = (taken == Taken::Doubted).then(|| now + self.policy.lapses_within);
-        let is_same = |entry: &Entry| *entry.instance == instance && entry.doubted_until == doubted_until;
+        self.leaving_notices.set_incarnation(&instance);
+        let unverified_until = (disposition == Disposition::Unverified).then(|| now + self.policy.expires_within);
+        let is_same = |entry: &Entry| *entry.instance == instance && entry.unverified_until == unverified_until;
         let changed = !self.entries.get(name).is_some_and(is_same);
-        let entry = Entry { instance: Rc::new(instance), revision: listed.revision, hold: None, doubted_until };
-        self.gone.remove(name);
+        let entry =
+            Entry { instance: Rc::new(instance), revision: listed.revision, retention: None, unverified_until };
+        self.tombstones.remove(name);
         self.entries.insert(name.clone(), entry);
         changed
     }
 
-    /// True when `listed` is later than what is known, or ends a hold.
+    /// Returns true if `listed` is newer than the known entry, or ends its retention.
     fn is_newer(&self, listed: &ListedInstance) -> bool {
         self.entries.get(&listed.instance.name).is_none_or(|known| {
-            known.revision < listed.revision || known.revision == listed.revision && known.hold.is_some()
+            known.revision < listed.revision || known.revision == listed.revision && known.retention.is_some()
         })
     }
 
-    /// What is known of an instance, whether it is listed or gone.
-    fn prior_of(&self, name: &InstanceName) -> Option<Prior<'_>> {
+    /// Returns what is known of an instance, whether it is listed or removed.
+    fn prior_of(&self, name: &InstanceName) -> Option<PriorRecord<'_>> {
         if let Some(entry) = self.entries.get(name) {
-            return Some(Prior { instance: &entry.instance, epoch: entry.revision.epoch, was_gone: false });
+            return Some(PriorRecord {
+                instance: &entry.instance,
+                epoch: entry.revision.epoch,
+                was_removed: false,
+            });
         }
-        let tombstone = self.gone.get(name)?;
-        Some(Prior { instance: &tombstone.instance, epoch: tombstone.epoch, was_gone: true })
+        let tombstone = self.tombstones.get(name)?;
+        Some(PriorRecord { instance: &tombstone.instance, epoch: tombstone.epoch, was_removed: true })
     }
 
-    /// An entry went missing: held for a while unless it was draining.
-    pub(super) fn remove(&mut self, name: &InstanceName, revision: Revision, now: Moment) -> bool {
-        match self.source.hold_of_missing(self.policy, revision, now) {
-            Some(hold) if self.status(name) == InstanceStatus::Ready => self.hold(name, hold),
-            _ => self.forget(name, revision, now),
+    /// Handles an entry that went missing: retains it for a while if it was ready, else removes it.
+    pub(super) fn remove_or_retain(&mut self, name: &InstanceName, revision: Revision, now: Moment) -> bool {
+        match self.source.retention_of_missing(self.policy, revision, now) {
+            Some(retention) if self.status(name) == InstanceStatus::Ready => self.retain(name, retention),
+            _ => self.delete(name, revision, now),
         }
     }
 
-    /// Removes an entry. `revision` is the change that removed it, or the default when only
-    /// this node thinks so.
-    pub(super) fn forget(&mut self, name: &InstanceName, revision: Revision, now: Moment) -> bool {
+    /// Removes an entry. `revision` is the change that removed it, or the default if only this node found it
+    /// to be gone.
+    pub(super) fn delete(&mut self, name: &InstanceName, revision: Revision, now: Moment) -> bool {
         let Some(entry) = self.entries.remove(name) else { return false };
         self.note_machine(&entry.instance, now);
         let epoch = self.revision.epoch;
-        let tombstone = Tombstone { instance: entry.instance, revision, epoch, is_seen: false, since: now };
-        self.gone.insert(name.clone(), tombstone);
+        let tombstone = Tombstone { instance: entry.instance, revision, epoch, is_confirmed: false, since: now };
+        self.tombstones.insert(name.clone(), tombstone);
         true
     }
 }
--- a/crates/sidecar/src/follow/mod.rs
+++ b/crates/sidecar/src/follow/mod.rs
@@ -248,7 +248,7 @@
 fn note_answered(node: &Node) {
     count(node, "ok");
     node.cluster.borrow_mut().directory.note_source_answered(clock::now());
-    if node.source_away_since.take().is_some() {
+    if node.source_unreachable_since.take().is_some() {
         log::info!("event=source_regained");
     }
 }
@@ -262,9 +262,9 @@
     count(node, "failed");
     let silent = matches!(error, SourceError::TimedOut);
     if silent || failures >= FAILURES_TO_BE_AWAY {
-        node.cluster.borrow_mut().directory.note_source_away();
-        if node.source_away_since.get().is_none() {
-            node.source_away_since.set(Some(clock::now()));
+        node.cluster.borrow_mut().directory.note_source_unreachable();
+        if node.source_unreachable_since.get().is_none() {
+            node.source_unreachable_since.set(Some(clock::now()));
             log::warn!("event=source_lost error={:?}", error.to_string());
         }
     }
--- a/crates/sidecar/src/peers/mod.rs
+++ b/crates/sidecar/src/peers/mod.rs
@@ -147,8 +147,8 @@
 /// Notes a reading; true when it is one of this zone that is to be passed on.
 fn on_reading(node: &Node, announcement: &Announcement) -> bool {
     let Some(reading) = announcement.reading.map(AnnouncedReading::to_reading) else { return false };
-    if node.source_away_since.get().is_some_and(|since| reading.at > since) {
-        node.cluster.borrow_mut().directory.note_source_seen(reading.at);
+    if node.source_unreachable_since.get().is_some_and(|since| reading.at > since) {
+        node.cluster.borrow_mut().directory.note_source_answered_peer(reading.at);
     }
     if announcement.zone == node.settings().zone {
         return node.freshness.borrow_mut().on_announced(reading);
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -16,7 +16,7 @@
 
 use crate::access::Access;
 use crate::declared::DeclaredRates;
-use crate::directory::retention::HoldPolicy;
+use crate::directory::retention::RetentionPolicy;
 use crate::directory::{Directory, InstanceStatus};
 use crate::edge::gate_connection_pool::GateConnectionPool;
 use crate::event::{LogBudgets, LogClass};
@@ -100,7 +100,7 @@
     /// How recent the knowledge is, and who reads the source.
     pub freshness: RefCell<Freshness>,
     /// Since when the source can't be read from here.
-    pub source_away_since: Cell<Option<Moment>>,
+    pub source_unreachable_since: Cell<Option<Moment>>,
     /// Bytes that a request and its answer hold on average; as much as they may at first.
     request_bytes: Cell<f64>,
     /// Attestations that are to be passed on.
@@ -119,11 +119,11 @@
 impl Node {
     /// A node that knows nothing yet.
     pub fn new(settings: SidecarSettings, wire_names: WireNames) -> Self {
-        let hold = HoldPolicy {
+        let hold = RetentionPolicy {
             rewritten_within: REWRITTEN_WITHIN,
             confirmed_within: CONFIRMED_WITHIN,
             listed_within: settings.heartbeat * LISTED_HEARTBEATS,
-            lapses_within: settings.heartbeat * LAPSED_HEARTBEATS + LAPSE_SLACK,
+            expires_within: settings.heartbeat * LAPSED_HEARTBEATS + LAPSE_SLACK,
         };
         let cluster = ClusterState { configuration: None, routes: None, directory: Directory::new(hold) };
         let freshness = Freshness::new(settings.ip());
@@ -145,7 +145,7 @@
             service_machines: RefCell::default(),
             unheard_gates: RefCell::default(),
             freshness: RefCell::new(freshness),
-            source_away_since: Cell::new(None),
+            source_unreachable_since: Cell::new(None),
             request_bytes: Cell::new(LARGEST_PIECES as f64),
             attestations: RefCell::default(),
             attestations_changed: Notify::new(),
--- a/crates/sidecar/tests/decisions/directory.rs
+++ b/crates/sidecar/tests/decisions/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use olivegate_sidecar::directory::retention::HoldPolicy;
+use olivegate_sidecar::directory::retention::RetentionPolicy;
 use olivegate_sidecar::directory::{Directory, InstanceStatus};
 use olivegate_sidecar::model::{Incarnation, Instance, InstanceState, Revision};
 use olivegate_sidecar::source::{Change, ListedInstance};
@@ -11,14 +11,14 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const POLICY: HoldPolicy = HoldPolicy {
+const POLICY: RetentionPolicy = RetentionPolicy {
     rewritten_within: Duration::from_millis(2_000),
     confirmed_within: Duration::ZERO,
     listed_within: Duration::from_millis(3_000),
-    lapses_within: Duration::from_millis(5_000),
+    expires_within: Duration::from_millis(5_000),
 };
 /// Gates have time to say whether their instances live.
-const WITH_GATES: HoldPolicy = HoldPolicy { confirmed_within: Duration::from_millis(900), ..POLICY };
+const WITH_GATES: RetentionPolicy = RetentionPolicy { confirmed_within: Duration::from_millis(900), ..POLICY };
 
 fn at(millis: u64) -> Moment {
     Moment::from_millis(millis)
@@ -62,10 +62,10 @@
 fn what_lapsed_is_held_from_the_sources_first_answer_to_any_node() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
-    directory.note_source_away();
-    directory.note_source_seen(at(10_000));
-    directory.note_source_away();
-    directory.note_source_seen(at(11_000));
+    directory.note_source_unreachable();
+    directory.note_source_answered_peer(at(10_000));
+    directory.note_source_unreachable();
+    directory.note_source_answered_peer(at(11_000));
     directory.apply_snapshot(&[], Revision::of(2), at(11_100));
     directory.note_source_answered(at(11_500));
     assert!(!directory.expire(at(11_900)), "it may still write again");
@@ -77,7 +77,7 @@
     let mut directory = Directory::new(POLICY);
     let both = [listed("a", InstanceState::Ready, 1), listed("b", InstanceState::Ready, 2)];
     directory.apply_snapshot(&both, Revision::of(2), at(0));
-    directory.note_source_away();
+    directory.note_source_unreachable();
     assert!(!directory.expire(at(30_000)), "an absence ends nothing");
     directory.note_source_answered(at(31_000));
     directory.apply_snapshot(&[], Revision::of(4), at(31_000));
@@ -92,7 +92,7 @@
 fn what_goes_missing_later_than_the_return_is_gone_at_once() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
-    directory.note_source_away();
+    directory.note_source_unreachable();
     directory.note_source_answered(at(1_000));
     let gone = Change::InstanceRemoved { name: InstanceName::new("a"), revision: Revision::of(2) };
     directory.apply_change(&gone, at(3_100));
@@ -103,7 +103,7 @@
 fn a_draining_instance_is_never_held() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Draining, 1)], Revision::of(1), at(0));
-    directory.note_source_away();
+    directory.note_source_unreachable();
     directory.note_source_answered(at(10));
     directory.apply_snapshot(&[], Revision::of(2), at(20));
     assert_eq!(directory.status(&InstanceName::new("a")), InstanceStatus::Gone);
@@ -159,7 +159,7 @@
     directory.apply_change(&Change::Instance(listed("d", InstanceState::Ready, 5)), at(10));
     directory.advance(Revision::of(5));
     let changes = directory.update_since(Revision::of(3), at(0));
-    assert_eq!((changes.base, changes.entries.len(), changes.gone.len()), (Some(Revision::of(3)), 1, 1));
+    assert_eq!((changes.base, changes.entries.len(), changes.removed.len()), (Some(Revision::of(3)), 1, 1));
     assert!(other.apply_update(&changes, at(20)));
     assert_eq!((ready(&other), other.revision()), (ready(&directory), Revision::of(5)));
 }
@@ -184,7 +184,7 @@
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
     let mut other = Directory::new(POLICY);
     other.apply_update(&directory.update_since(Revision::default(), at(0)), at(0));
-    directory.note_source_away();
+    directory.note_source_unreachable();
     directory.note_source_answered(at(100));
     directory.apply_snapshot(&[], Revision::of(2), at(200));
     other.apply_update(&directory.update_since(Revision::of(1), at(900)), at(900));
@@ -197,7 +197,7 @@
 #[rstest]
 fn an_instance_met_on_its_machine_is_believed_until_the_source_is_back_and_lists_it() {
     let mut directory = Directory::new(POLICY);
-    directory.note_source_away();
+    directory.note_source_unreachable();
     directory.observe(instance("b", InstanceState::Ready), at(0));
     assert!(!directory.expire(at(20_000)), "nothing can be listed meanwhile");
     directory.note_source_answered(at(21_000));
@@ -255,7 +255,7 @@
 fn a_gate_does_not_end_the_hold_of_what_lapsed_while_the_source_was_away() {
     let mut directory = Directory::new(WITH_GATES);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
-    directory.note_source_away();
+    directory.note_source_unreachable();
     directory.note_source_answered(at(100));
     directory.apply_snapshot(&[], Revision::of(2), at(100));
     assert!(!directory.confirm_gone(&InstanceName::new("a"), at(110)));
--- a/crates/sidecar/tests/decisions/epochs.rs
+++ b/crates/sidecar/tests/decisions/epochs.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use olivegate_sidecar::directory::retention::HoldPolicy;
+use olivegate_sidecar::directory::retention::RetentionPolicy;
 use olivegate_sidecar::directory::{Directory, InstanceStatus};
 use olivegate_sidecar::model::{Epoch, Incarnation, Instance, InstanceState, Revision};
 use olivegate_sidecar::source::{Change, ListedInstance};
@@ -12,11 +12,11 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const POLICY: HoldPolicy = HoldPolicy {
+const POLICY: RetentionPolicy = RetentionPolicy {
     rewritten_within: Duration::from_millis(2_000),
     confirmed_within: Duration::from_millis(600),
     listed_within: Duration::from_millis(3_000),
-    lapses_within: Duration::from_millis(5_000),
+    expires_within: Duration::from_millis(5_000),
 };
 /// Start of an instance, where it is told.
 const FIRST: u64 = 1_700_000_000_000;
