--- a/crates/sidecar/src/peers/access.rs
+++ b/crates/sidecar/src/peers/access.rs
@@ -1,13 +1,13 @@
-//! What nodes ask each other about keys and quotas.
+//! Queries between nodes about keys and quotas.
 //!
-//! Each node asks the collector of its zone, the first machine of the zone's order that answers:
-//! it tells what its tenants used, and is told the age of the collector's proof and which tenants
-//! are over their quotas. The answer carries the asker's own time back, so that the way counts
-//! as age. Collectors tell each other the sums of their zones.
+//! Each node queries the collector of its zone, the first machine in the zone's order that answers. The query
+//! reports what the node's tenants used; the reply carries the age of the collector's proof and the tenants
+//! that are over their quotas. The reply echoes the time of the query, so that the round trip counts toward
+//! the age. Collectors send each other the totals of their zones.
 //!
-//! A collector has its proof from the readers of the source. A node whose proof ages because its
-//! collector's does asks a reader and some nodes of other zones as well: one that reads is
-//! enough.
+//! A collector gets its proof from the nodes that read the source. A node whose proof grows old because its
+//! collector's does also queries a reader and some random nodes, which may be in other zones: one node with
+//! access to the source is enough.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -27,92 +27,90 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// Interval at which a node asks its collector.
-const ASK_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval at which collectors tell each other their sums: all counts are later by it.
+/// Interval of queries to the collector.
+const QUERY_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which collectors exchange their totals. All counts lag by it.
 const COLLECTOR_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval of questions while nothing is proven yet.
-const FIRST_ASK_INTERVAL: Duration = Duration::from_millis(40);
-/// Interval at which a node without tenants looks whether there are some.
+/// Interval of queries while nothing is proven yet.
+const UNPROVEN_QUERY_INTERVAL: Duration = Duration::from_millis(40);
+/// Interval at which a node without tenants checks whether some are configured.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
-/// A collector that has not answered for this long is passed over.
-const SILENT_AFTER: Duration = Duration::from_millis(650);
-/// Time for which a silent one is passed over.
-const PASSED_OVER_FOR: Duration = Duration::from_secs(3);
-/// Age of the proof, as a part of the age up to which keys count, from which on it is not left
-/// to the collector alone.
-const PROOF_WANTED_PART: f64 = 0.3;
-/// Nodes at random that are asked for a proof besides the reader.
+/// A collector that has not answered for this long is skipped.
+const COLLECTOR_TIMEOUT: Duration = Duration::from_millis(650);
+/// How long an unresponsive collector is skipped.
+const SKIP_DURATION: Duration = Duration::from_secs(3);
+/// Age of the proof above which other nodes than the collector are queried too, as a fraction of the age up
+/// to which keys are accepted.
+const PROOF_QUERY_FRACTION: f64 = 0.3;
+/// Number of random nodes that are queried for a proof in addition to the reader.
 const PROOF_FAN_OUT: usize = 2;
-/// Machines of each zone that hear the sums of the others: its collector, and the next one.
-const COLLECTORS_TOLD: usize = 2;
-/// Parts of tenants that are told in one datagram.
-const MOST_PARTS: usize = 110;
+/// Machines of each zone that receive the totals of the others: its collector and the next one in order.
+const COLLECTORS_PER_ZONE: usize = 2;
+/// Maximum number of tenants in one reply, which has to fit into a datagram.
+const MAX_FRACTIONS: usize = 110;
 
-/// A question.
+/// A query to another node.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Question {
-    /// When it was asked, by the asker's clock, in microseconds; comes back with the answer.
-    pub asked_us: u64,
-    /// What the asker's tenants used; a collector is asked which are over their quotas.
+pub struct AccessQuery {
+    /// When it was sent, in microseconds of the sender's clock; echoed in the reply.
+    pub sent_us: u64,
+    /// What the sender's tenants used. If set, the reply names the tenants that are over their quotas.
     pub usage: Option<UsageReport>,
 }
 
-/// An answer.
+/// The reply to an [`AccessQuery`].
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Told {
-    /// From the question.
-    pub asked_us: u64,
-    /// The configuration in force at the answering node.
+pub struct AccessReply {
+    /// Echoed from the query.
+    pub sent_us: u64,
+    /// The configuration in force at the replying node.
     pub configuration: ConfigurationVersion,
-    /// Age of its proof that there was none newer.
+    /// Age of its proof that there was no newer configuration.
     pub proof_age: Option<Millis>,
-    /// Tenants of whose requests only a part may be let in.
-    pub parts: Option<Vec<AdmittedFraction>>,
+    /// The tenants whose requests are admitted only in part.
+    pub fractions: Option<Vec<AdmittedFraction>>,
 }
 
-/// The collector that a node asks.
+/// The collector that a node queries.
 #[derive(Debug, Default)]
-struct Asked {
+struct CollectorState {
     collector: Option<IpAddr>,
-    /// When it was chosen or last answered.
-    heard: Moment,
-    passed_over: HashMap<IpAddr, Moment>,
+    /// When it was selected or last answered.
+    last_answer: Moment,
+    skipped: HashMap<IpAddr, Moment>,
 }
 
-/// The asker's side of questions.
+/// Selects the collector of the zone and skips unresponsive ones.
 #[derive(Debug, Default)]
-pub struct Asking(RefCell<Asked>);
+pub struct CollectorClient(RefCell<CollectorState>);
 
-impl Asking {
-    /// The first machine of `order` that answers; the second value is true when it is another
-    /// one than before.
-    fn collector(&self, order: &[IpAddr], now: Moment) -> (Option<IpAddr>, bool) {
-        let mut asked = self.0.borrow_mut();
-        if let Some(silent) = asked.collector.filter(|_| now.since(asked.heard) > SILENT_AFTER) {
-            asked.passed_over.insert(silent, now);
+impl CollectorClient {
+    /// Returns the first machine of `order` that is not skipped, and whether it differs from the one before.
+    fn select(&self, order: &[IpAddr], now: Moment) -> (Option<IpAddr>, bool) {
+        let mut state = self.0.borrow_mut();
+        if let Some(silent) = state.collector.filter(|_| now.since(state.last_answer) > COLLECTOR_TIMEOUT) {
+            state.skipped.insert(silent, now);
         }
-        asked.passed_over.retain(|_, since| now.since(*since) <= PASSED_OVER_FOR);
-        let chosen =
-            order.iter().find(|machine| !asked.passed_over.contains_key(machine)).or(order.first()).copied();
-        let is_other = chosen != asked.collector;
-        if is_other {
-            asked.collector = chosen;
-            asked.heard = now;
+        state.skipped.retain(|_, since| now.since(*since) <= SKIP_DURATION);
+        let chosen = order.iter().find(|machine| !state.skipped.contains_key(machine)).or(order.first()).copied();
+        let has_changed = chosen != state.collector;
+        if has_changed {
+            state.collector = chosen;
+            state.last_answer = now;
         }
-        (chosen, is_other)
+        (chosen, has_changed)
     }
 
     fn on_answer(&self, from: IpAddr, now: Moment) {
-        let mut asked = self.0.borrow_mut();
-        if asked.collector == Some(from) {
-            asked.heard = now;
+        let mut state = self.0.borrow_mut();
+        if state.collector == Some(from) {
+            state.last_answer = now;
         }
     }
 }
 
-/// Asks until the process ends.
-pub async fn run(node: Rc<Node>, socket: Rc<UdpSocket>, asking: Rc<Asking>) {
+/// Sends queries until the process ends.
+pub async fn run(node: Rc<Node>, socket: Rc<UdpSocket>, collector_client: Rc<CollectorClient>) {
     loop {
         let interval = interval(&node);
         let pause = node.random(|random| interval.mul_f64(random.random_range(0.9..1.1)));
@@ -121,10 +119,10 @@
             () = node.access.proof_requested.notified() => {}
         }
         if node.access.has_tenants() {
-            note_nodes(&node);
-            ask_collector(&node, &socket, &asking).await;
-            ask_for_proof(&node, &socket).await;
-            tell_collectors(&node, &socket).await;
+            update_node_count(&node);
+            query_collector(&node, &socket, &collector_client).await;
+            query_proof(&node, &socket).await;
+            send_zone_usage(&node, &socket).await;
         }
     }
 }
@@ -136,66 +134,66 @@
     let needs_proof = node.settings().bounds.keys_proven_within.is_some();
     let is_unproven = needs_proof && node.access.proof_age(clock::now()).is_none();
     if is_unproven {
-        FIRST_ASK_INTERVAL
+        UNPROVEN_QUERY_INTERVAL
     } else if node.access.collector.borrow().is_active(clock::now()) {
         COLLECTOR_INTERVAL
     } else {
-        ASK_INTERVAL
+        QUERY_INTERVAL
     }
 }
 
-fn note_nodes(node: &Node) {
+fn update_node_count(node: &Node) {
     let nodes = node.cluster.borrow().directory.machines().count();
     node.access.set_node_count(u32::try_from(nodes).unwrap_or(u32::MAX));
 }
 
-async fn ask_collector(node: &Node, socket: &UdpSocket, asking: &Asking) {
+async fn query_collector(node: &Node, socket: &UdpSocket, collector_client: &CollectorClient) {
     let now = clock::now();
-    let (collector, is_other) = asking.collector(&zone_order(node), now);
+    let (collector, has_changed) = collector_client.select(&zone_order(node), now);
     let Some(collector) = collector else { return };
-    if is_other {
+    if has_changed {
         node.access.quota().begin_generation(node.random(|random| random.random()));
     }
     let reports = node.access.quota().reports(now);
     let own = node.settings().ip();
     if collector == own {
-        asking.on_answer(own, now);
-        let parts = reports.iter().map(|report| collected(node, own, report, now)).last();
-        node.access.quota().on_collector_answer(&parts.unwrap_or_default(), now);
+        collector_client.on_answer(own, now);
+        let fractions = reports.iter().map(|report| record_usage(node, own, report, now)).last();
+        node.access.quota().on_collector_answer(&fractions.unwrap_or_default(), now);
         return;
     }
     for usage in reports {
-        ask(node, socket, collector, Some(usage)).await;
+        send_query(node, socket, collector, Some(usage)).await;
     }
 }
 
-async fn ask(node: &Node, socket: &UdpSocket, machine: IpAddr, usage: Option<UsageReport>) {
-    let question = Question { asked_us: micros(clock::now()), usage };
-    send_to(node, socket, machine, &PeerMessage::Question(question)).await;
+async fn send_query(node: &Node, socket: &UdpSocket, machine: IpAddr, usage: Option<UsageReport>) {
+    let query = AccessQuery { sent_us: micros(clock::now()), usage };
+    send_to(node, socket, machine, &PeerMessage::AccessQuery(query)).await;
 }
 
-/// Asks those that may have a younger proof where this node's ages.
-async fn ask_for_proof(node: &Node, socket: &UdpSocket) {
+/// Queries nodes that may have a fresher proof, if this node's grows old.
+async fn query_proof(node: &Node, socket: &UdpSocket) {
     let Some(within) = node.settings().bounds.keys_proven_within else { return };
-    let wanted = within.mul_f64(PROOF_WANTED_PART);
+    let wanted = within.mul_f64(PROOF_QUERY_FRACTION);
     if node.access.proof_age(clock::now()).is_some_and(|age| age <= wanted) {
         return;
     }
     let own = node.settings().ip();
     let reader = node.freshness.borrow().latest().map(|reading| reading.reader);
-    let mut asked: HashSet<IpAddr> = {
+    let mut machines: HashSet<IpAddr> = {
         let cluster = node.cluster.borrow();
         node.random(|random| cluster.directory.machines().sample(random, PROOF_FAN_OUT)).into_iter().collect()
     };
-    asked.extend(reader);
-    asked.remove(&own);
-    for machine in asked {
-        ask(node, socket, machine, None).await;
+    machines.extend(reader);
+    machines.remove(&own);
+    for machine in machines {
+        send_query(node, socket, machine, None).await;
     }
 }
 
-/// Tells the collectors of all zones what this one has counted.
-async fn tell_collectors(node: &Node, socket: &UdpSocket) {
+/// Sends the totals of this zone to the collectors of all zones.
+async fn send_zone_usage(node: &Node, socket: &UdpSocket) {
     let now = clock::now();
     if !node.access.collector.borrow().is_active(now) {
         return;
@@ -212,55 +210,60 @@
     let own = node.settings().ip();
     let cluster = node.cluster.borrow();
     let zones = cluster.directory.zones();
-    let first_of = |zone| {
+    let targets_of = |zone| {
         let order = relay::order_of(cluster.directory.machines_of_zone(zone), own);
         let others = order.into_iter().filter(|machine| *machine != own);
-        others.take(COLLECTORS_TOLD).collect::<Vec<_>>()
+        others.take(COLLECTORS_PER_ZONE).collect::<Vec<_>>()
     };
-    zones.into_iter().flat_map(first_of).collect()
+    zones.into_iter().flat_map(targets_of).collect()
 }
 
-/// Counts what a node of the zone tells; the tenants over their quotas.
-fn collected(node: &Node, from: IpAddr, usage: &UsageReport, now: Moment) -> Vec<AdmittedFraction> {
+/// Records the usage that a node of the zone reported, and returns the tenants that are over their quotas.
+fn record_usage(node: &Node, from: IpAddr, usage: &UsageReport, now: Moment) -> Vec<AdmittedFraction> {
     let limits = node.access.limits();
     let mut collector = node.access.collector.borrow_mut();
     collector.on_node_report(from, usage, &limits, now);
-    collector.admitted_fractions(&limits, node.access.node_count(), now).iter().copied().take(MOST_PARTS).collect()
+    collector
+        .admitted_fractions(&limits, node.access.node_count(), now)
+        .iter()
+        .copied()
+        .take(MAX_FRACTIONS)
+        .collect()
 }
 
-/// Answers a question.
-pub async fn answer(node: &Node, socket: &UdpSocket, question: &Question, from: SocketAddr) {
+/// Replies to a query.
+pub async fn answer(node: &Node, socket: &UdpSocket, query: &AccessQuery, from: SocketAddr) {
     let now = clock::now();
-    let parts = question.usage.as_ref().map(|usage| collected(node, from.ip(), usage, now));
-    let told = Told {
-        asked_us: question.asked_us,
+    let fractions = query.usage.as_ref().map(|usage| record_usage(node, from.ip(), usage, now));
+    let reply = AccessReply {
+        sent_us: query.sent_us,
         configuration: node.known_state().configuration,
-        // Rounded up: a proof is never told younger than it is.
+        // Rounded up, so that a proof never appears younger than it is.
         proof_age: node.access.proof_age(now).map(|age| Millis::from_duration(age + Duration::from_millis(1))),
-        parts,
+        fractions,
     };
-    send_to(node, socket, from.ip(), &PeerMessage::Told(told)).await;
+    send_to(node, socket, from.ip(), &PeerMessage::AccessReply(reply)).await;
 }
 
-/// Takes an answer.
-pub fn on_told(node: &Node, asking: &Asking, told: &Told, from: SocketAddr) {
+/// Applies a reply.
+pub fn on_reply(node: &Node, collector_client: &CollectorClient, reply: &AccessReply, from: SocketAddr) {
     let now = clock::now();
-    let asked = Moment::after_start(Duration::from_micros(told.asked_us));
-    if asked > now {
+    let sent = Moment::after_start(Duration::from_micros(reply.sent_us));
+    if sent > now {
         return;
     }
-    if let Some(age) = told.proof_age
-        && told.configuration <= node.known_state().configuration
+    if let Some(age) = reply.proof_age
+        && reply.configuration <= node.known_state().configuration
     {
-        node.access.on_peer_proof(asked, age.duration());
+        node.access.on_peer_proof(sent, age.duration());
     }
-    if let Some(parts) = &told.parts {
-        asking.on_answer(from.ip(), now);
-        node.access.quota().on_collector_answer(parts, asked);
+    if let Some(fractions) = &reply.fractions {
+        collector_client.on_answer(from.ip(), now);
+        node.access.quota().on_collector_answer(fractions, sent);
     }
 }
 
-/// Takes the sums of another zone.
+/// Applies the totals of another zone.
 pub fn on_zone_usage(node: &Node, usage: &UsageReport, from: SocketAddr) {
     let limits = node.access.limits();
     node.access.collector.borrow_mut().on_collector_report(from.ip(), usage, &limits, clock::now());
--- a/crates/sidecar/src/peers/attestation.rs
+++ b/crates/sidecar/src/peers/attestation.rs
@@ -1,14 +1,14 @@
-//! A gate attests that its instance lives although the source no longer lists it.
+//! Attestations by a gate that its instance is alive although the source no longer lists it.
 //!
-//! When only one machine is cut off from the source, the entry of its instance lapses there,
-//! and every other node takes the instance for gone. The gate on that machine knows better:
-//! the source does not answer it either, and the instance takes connections and does not
-//! close them as one that leaves does. It tells some nodes, which pass it on. Whoever sends
-//! to the instance sends through this gate, so a gate that is wrong only has to refuse.
+//! When only one machine is cut off from the source, the entry of its instance expires, and all other nodes
+//! conclude that the instance is gone. The gate on that machine can tell otherwise: the source does not
+//! answer it either, and the instance accepts connections and does not close them as one that is leaving
+//! does. It tells some nodes, which forward the attestation. All requests to the instance pass through this
+//! gate, so if it is wrong, it can still refuse them.
 //!
-//! Until it has found out, it serves on: others believe the entry as long. An answer of any
-//! kind shows that the machine reaches the source: then the instance does,
-//! too, and what the source says of it holds.
+//! Until the gate has found out, it keeps serving, and other nodes retain the entry for the same time. Any
+//! answer of the source, even an error, shows that this machine can reach it. Then the instance can reach it
+//! too, and the source's list is correct.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use tokio::net::UdpSocket;
 
-use super::{Audience, PeerMessage, send};
+use super::{PeerMessage, Recipients, send};
 use crate::model::{Instance, Millis};
 use crate::source::{Source, SourceError};
 use crate::state::Node;
@@ -25,40 +25,42 @@
 
 /// Interval of attestations while the instance is not listed.
 const INTERVAL: Duration = Duration::from_millis(1_500);
-/// Time that an attestation is believed.
+/// How long an attestation is valid.
 const VALID_FOR: Duration = Duration::from_secs(3);
-/// A source that has not answered within this time is not reached.
-const SILENT_AFTER: Duration = Duration::from_millis(400);
-/// Time limit of a connection to the instance.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// Attestations that come within this time are passed on together.
-const GATHER: Duration = Duration::from_millis(30);
-/// Attestations in one datagram.
-const MOST_IN_DATAGRAM: usize = 6;
+/// The source counts as unreachable if it does not answer within this time.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time limit for connecting to the instance.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Attestations that arrive within this time are forwarded together.
+const BATCH_DELAY: Duration = Duration::from_millis(30);
+/// Maximum number of attestations in one datagram.
+const MAX_PER_DATAGRAM: usize = 6;
 
-/// The word of a gate that its instance lives.
+/// A gate's statement that its instance is alive.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Attestation {
     /// The instance.
     pub instance: Instance,
-    /// How long that is to be believed.
+    /// How long it is valid.
     pub valid_for: Millis,
 }
 
-/// Attests the instance beside this node whenever that is called for.
+/// Attests the instance beside this node whenever its entry is missing and the conditions hold.
 pub async fn attest_own<S: Source>(node: Rc<Node>, source: Rc<S>) {
-    // The instance of which the source's word was found to hold.
-    let mut gone: Option<Instance> = None;
+    // The instance whose removal from the source's list was confirmed.
+    let mut confirmed_gone: Option<Instance> = None;
     loop {
         node.cluster_changed.notified().await;
-        while let Some(instance) = unlisted_instance(&node).filter(|instance| gone.as_ref() != Some(instance)) {
+        while let Some(instance) =
+            unlisted_instance(&node).filter(|instance| confirmed_gone.as_ref() != Some(instance))
+        {
             if !may_attest(&node, source.as_ref(), &instance).await {
                 node.update_directory("gate", |directory| directory.confirm_gone(&instance.name, clock::now()));
-                gone = Some(instance);
+                confirmed_gone = Some(instance);
                 break;
             }
             log::info!("event=instance_attested instance={} valid_ms={}", instance.name, VALID_FOR.as_millis());
-            take(&node, vec![Attestation { instance, valid_for: Millis::from_duration(VALID_FOR) }]);
+            accept(&node, vec![Attestation { instance, valid_for: Millis::from_duration(VALID_FOR) }]);
             tokio::time::sleep(INTERVAL).await;
         }
     }
@@ -70,42 +72,42 @@
     cluster.directory.unlisted_at(address).map(|instance| Instance::clone(&instance))
 }
 
-/// True when the source is silent towards this machine and the instance lives and stays.
+/// Returns true if the source is unreachable from this machine and the instance is alive and not leaving.
 async fn may_attest<S: Source>(node: &Node, source: &S, instance: &Instance) -> bool {
-    let is_silent = matches!(source.probe(SILENT_AFTER).await, Err(SourceError::TimedOut));
-    is_silent
+    let is_unreachable = matches!(source.probe(PROBE_TIMEOUT).await, Err(SourceError::TimedOut));
+    is_unreachable
         && !node.gate.is_leaving(&instance.name)
-        && transport::connect(instance.address, CONNECT_LIMIT).await.is_ok()
+        && transport::connect(instance.address, CONNECT_TIMEOUT).await.is_ok()
 }
 
-/// Believes attestations; those that are news are passed on.
-pub fn take(node: &Node, attestations: Vec<Attestation>) {
+/// Applies attestations and queues those that are new for forwarding.
+pub fn accept(node: &Node, attestations: Vec<Attestation>) {
     let now = clock::now();
-    let mut news = Vec::new();
+    let mut forwarded = Vec::new();
     node.update_directory("gate", |directory| {
         for attestation in attestations {
             let until = now + attestation.valid_for.duration().min(VALID_FOR);
             if directory.attest(attestation.instance.clone(), until, now) {
-                news.push(attestation);
+                forwarded.push(attestation);
             }
         }
-        !news.is_empty()
+        !forwarded.is_empty()
     });
-    if !news.is_empty() {
-        node.attestations.borrow_mut().extend(news);
+    if !forwarded.is_empty() {
+        node.attestations.borrow_mut().extend(forwarded);
         node.attestations_changed.notify_one();
     }
 }
 
-/// Passes news on until the process ends.
-pub async fn pass_on(node: Rc<Node>, socket: Rc<UdpSocket>) {
+/// Forwards attestations until the process ends.
+pub async fn forward(node: Rc<Node>, socket: Rc<UdpSocket>) {
     loop {
         node.attestations_changed.notified().await;
-        tokio::time::sleep(GATHER).await;
-        let news = node.attestations.take();
-        for part in news.chunks(MOST_IN_DATAGRAM) {
+        tokio::time::sleep(BATCH_DELAY).await;
+        let forwarded = node.attestations.take();
+        for part in forwarded.chunks(MAX_PER_DATAGRAM) {
             let message = PeerMessage::Attestations(part.to_vec());
-            send(&node, &socket, Audience::ChildrenAndFew, &message).await;
+            send(&node, &socket, Recipients::ChildrenAndRandom, &message).await;
         }
     }
 }
--- a/crates/sidecar/src/peers/mod.rs
+++ b/crates/sidecar/src/peers/mod.rs
@@ -1,10 +1,9 @@
-//! What nodes tell each other about configuration and instances.
+//! Exchange of configuration and instances between nodes.
 //!
-//! A node announces by UDP what it knows; whoever knows less fetches the rest by TCP from
-//! the announcing node. Readers of the source announce at an interval, also how recent
-//! their reading is; every node announces at once what it has just learnt. So a change is
-//! everywhere within some round trips, and a node that the source does not answer learns
-//! from those that it does.
+//! A node announces by UDP how recent its state is; nodes that are behind fetch the difference from it by
+//! TCP. Nodes that read the source announce periodically, including how recent their reading is; every node
+//! announces what it has just learned at once. So a change reaches all nodes within a few round trips, and a
+//! node that the source does not answer learns it from others.
 
 pub mod access;
 pub mod attestation;
@@ -33,38 +32,39 @@
 
 /// Interval of a reader's announcements.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(250);
-/// Shortest time between two announcements of changes.
-const CHANGE_PAUSE: Duration = Duration::from_millis(20);
-/// Nodes of any zone, drawn at random, that an announcement goes to besides.
+/// Minimum time between two announcements of changes.
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of random nodes of any zone that an announcement is also sent to.
 const FAN_OUT: usize = 4;
-/// Fetches at a time: a peer that does not answer must not keep the node from another one.
-const FETCHES: usize = 2;
+/// Maximum number of concurrent fetches. More than one, so that an unresponsive peer does not block the
+/// others.
+const MAX_FETCHES: usize = 2;
 /// Time limit of a fetch.
-const FETCH_LIMIT: Duration = Duration::from_millis(600);
-/// Largest datagram in bytes.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(600);
+/// Maximum size of a datagram in bytes.
 pub const MAX_DATAGRAM: usize = 4_096;
 
-/// What a node tells others by UDP.
+/// A message between nodes, sent by UDP.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum PeerMessage {
-    /// What it knows.
+    /// How recent the sender's state is.
     Announcement(Announcement),
-    /// Instances that live although the source does not list them.
+    /// Instances that are alive although the source does not list them.
     Attestations(Vec<Attestation>),
-    /// What a node wants to know of keys and quotas.
-    Question(access::Question),
-    /// The answer to it.
-    Told(access::Told),
-    /// What a collector has counted in its zone.
+    /// Asks about keys and quotas.
+    AccessQuery(access::AccessQuery),
+    /// Answers an [`access::AccessQuery`].
+    AccessReply(access::AccessReply),
+    /// Usage that a collector has totalled for its zone.
     ZoneUsage(UsageReport),
-    /// Requests with which instances end.
-    Suspects(suspects::SuspectNews),
+    /// Requests suspected of ending instances.
+    Suspects(suspects::SuspectUpdate),
 }
 
-/// How much a node knows, and how recent that is.
+/// How recent a node's state is.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Announcement {
-    /// What it knows.
+    /// The versions of its configuration and directory.
     pub known: KnownState,
     /// Its zone.
     pub zone: ZoneName,
@@ -72,12 +72,12 @@
     pub reading: Option<AnnouncedReading>,
 }
 
-/// A reading of the source, as nodes tell of it: their clocks differ.
+/// A reading of the source as nodes announce it, with an age because their clocks differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AnnouncedReading {
     /// The machine that read.
     pub reader: IpAddr,
-    /// How long ago.
+    /// Time since the read.
     pub age: Millis,
 }
 
@@ -88,12 +88,11 @@
 }
 
 fn latest_reading(node: &Node) -> Option<AnnouncedReading> {
-    let latest = node.freshness.borrow().told(node.stop.is_stopping())?;
+    let latest = node.freshness.borrow().announced(node.stop.is_stopping())?;
     Some(AnnouncedReading { reader: latest.reader, age: Millis::from_duration(clock::now().since(latest.at)) })
 }
 
-/// Rank of this node among the machines of its zone; alike on all nodes that know the same
-/// machines.
+/// Returns the rank of this node in its zone, which is the same on all nodes that know the same machines.
 pub fn own_reader_rank(node: &Node) -> u32 {
     let own = node.settings().ip();
     relay::rank_of(&zone_order(node), own)
@@ -105,16 +104,16 @@
     relay::order_of(machines, settings.ip())
 }
 
-/// Announces and listens until the process ends.
+/// Sends and receives messages until the process ends.
 pub async fn run(node: Rc<Node>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     let fetching: Rc<std::cell::RefCell<HashSet<IpAddr>>> = Rc::default();
     tokio::task::spawn_local(announce_changes(node.clone(), socket.clone()));
     tokio::task::spawn_local(announce_readings(node.clone(), socket.clone()));
-    tokio::task::spawn_local(attestation::pass_on(node.clone(), socket.clone()));
+    tokio::task::spawn_local(attestation::forward(node.clone(), socket.clone()));
     tokio::task::spawn_local(suspects::run(node.clone(), socket.clone()));
-    let asking: Rc<access::Asking> = Rc::default();
-    tokio::task::spawn_local(access::run(node.clone(), socket.clone(), asking.clone()));
+    let collector_client: Rc<access::CollectorClient> = Rc::default();
+    tokio::task::spawn_local(access::run(node.clone(), socket.clone(), collector_client.clone()));
     let mut buffer = [0; MAX_DATAGRAM];
     loop {
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
@@ -122,14 +121,14 @@
             continue;
         };
         match borsh::from_slice::<PeerMessage>(&buffer[..length]) {
-            Ok(PeerMessage::Attestations(attestations)) => attestation::take(&node, attestations),
-            Ok(PeerMessage::Question(question)) => access::answer(&node, &socket, &question, sender).await,
-            Ok(PeerMessage::Told(told)) => access::on_told(&node, &asking, &told, sender),
-            Ok(PeerMessage::Suspects(news)) => suspects::take(&node, &socket, news, sender.ip()).await,
+            Ok(PeerMessage::Attestations(attestations)) => attestation::accept(&node, attestations),
+            Ok(PeerMessage::AccessQuery(query)) => access::answer(&node, &socket, &query, sender).await,
+            Ok(PeerMessage::AccessReply(reply)) => access::on_reply(&node, &collector_client, &reply, sender),
+            Ok(PeerMessage::Suspects(update)) => suspects::on_update(&node, &socket, update, sender.ip()).await,
             Ok(PeerMessage::ZoneUsage(usage)) => access::on_zone_usage(&node, &usage, sender),
             Ok(PeerMessage::Announcement(announcement)) => {
                 if on_reading(&node, &announcement) {
-                    announce(&node, &socket, Audience::Children).await;
+                    announce(&node, &socket, Recipients::Children).await;
                 }
                 on_announcement(&node, &fetching, &announcement, sender);
             }
@@ -138,13 +137,13 @@
     }
 }
 
-/// True when `told` is more than this node knows.
-fn is_news(node: &Node, told: KnownState) -> bool {
+/// Returns true if `other` is ahead of this node's state.
+fn is_newer(node: &Node, other: KnownState) -> bool {
     let known = node.known_state();
-    told.configuration > known.configuration || told.directory > known.directory
+    other.configuration > known.configuration || other.directory > known.directory
 }
 
-/// Notes a reading; true when it is one of this zone that is to be passed on.
+/// Records an announced reading. Returns true if it is one of this zone that is to be forwarded.
 fn on_reading(node: &Node, announcement: &Announcement) -> bool {
     let Some(reading) = announcement.reading.map(AnnouncedReading::to_reading) else { return false };
     if node.source_unreachable_since.get().is_some_and(|since| reading.at > since) {
@@ -153,8 +152,8 @@
     if announcement.zone == node.settings().zone {
         return node.freshness.borrow_mut().on_announced(reading);
     }
-    if !is_news(node, announcement.known) {
-        node.freshness.borrow_mut().on_read_elsewhere(reading);
+    if !is_newer(node, announcement.known) {
+        node.freshness.borrow_mut().on_other_zone_reading(reading);
     }
     false
 }
@@ -165,8 +164,8 @@
     announcement: &Announcement,
     sender: SocketAddr,
 ) {
-    let is_behind = is_news(node, announcement.known);
-    let has_room = fetching.borrow().len() < FETCHES;
+    let is_behind = is_newer(node, announcement.known);
+    let has_room = fetching.borrow().len() < MAX_FETCHES;
     if !is_behind || !has_room || !fetching.borrow_mut().insert(sender.ip()) {
         return;
     }
@@ -183,7 +182,7 @@
 
 /// Fetches from `peer` what this node lacks.
 pub async fn fetch(node: &Node, peer: IpAddr) -> std::io::Result<()> {
-    let fetched = tokio::time::timeout(FETCH_LIMIT, fetch_from(node, peer)).await;
+    let fetched = tokio::time::timeout(FETCH_TIMEOUT, fetch_from(node, peer)).await;
     fetched.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
 }
 
@@ -205,12 +204,12 @@
         node.update_directory(&from, |known| known.apply_update(&copy, now));
     }
     if let Some(reading) = reading {
-        node.freshness.borrow_mut().on_read_elsewhere(reading.to_reading());
+        node.freshness.borrow_mut().on_other_zone_reading(reading.to_reading());
     }
     Ok(())
 }
 
-/// The answer to another node's fetch.
+/// Returns the answer to another node's fetch.
 pub fn cluster_update_for(node: &Node, other: KnownState) -> GateMessage {
     let cluster = node.cluster.borrow();
     let newer = cluster.configuration.as_ref().filter(|own| own.version > other.configuration);
@@ -226,8 +225,8 @@
 async fn announce_changes(node: Rc<Node>, socket: Rc<UdpSocket>) {
     loop {
         node.cluster_changed.notified().await;
-        announce(&node, &socket, Audience::ChildrenAndFew).await;
-        tokio::time::sleep(CHANGE_PAUSE).await;
+        announce(&node, &socket, Recipients::ChildrenAndRandom).await;
+        tokio::time::sleep(MIN_CHANGE_INTERVAL).await;
     }
 }
 
@@ -235,31 +234,31 @@
     loop {
         tokio::time::sleep(ANNOUNCE_INTERVAL).await;
         if node.freshness.borrow().is_reader() {
-            announce(&node, &socket, Audience::ChildrenAndFew).await;
+            announce(&node, &socket, Recipients::ChildrenAndRandom).await;
         }
     }
 }
 
-/// Who an announcement goes to.
+/// The recipients of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Audience {
-    /// Those that this node passes readings of its zone on to.
+enum Recipients {
+    /// The nodes that this node forwards readings of its zone to.
     Children,
-    /// Some nodes at random as well.
-    ChildrenAndFew,
+    /// These and some random nodes.
+    ChildrenAndRandom,
 }
 
-fn audience(node: &Node, audience: Audience) -> HashSet<IpAddr> {
+fn recipients(node: &Node, recipients: Recipients) -> HashSet<IpAddr> {
     let own = node.settings().ip();
     let order = zone_order(node);
     let mut chosen: HashSet<IpAddr> =
         relay::children(&order, relay::rank_of(&order, own)).iter().copied().collect();
     if node.freshness.borrow().is_reader() {
-        // Also when it is not the first.
+        // The reader starts the tree even if it is not the first of the zone.
         chosen.extend(relay::children(&order, 0));
         chosen.extend(order.first());
     }
-    if audience == Audience::ChildrenAndFew {
+    if recipients == Recipients::ChildrenAndRandom {
         let cluster = node.cluster.borrow();
         chosen.extend(node.random(|random| cluster.directory.machines().sample(random, FAN_OUT)));
     }
@@ -267,20 +266,20 @@
     chosen
 }
 
-async fn announce(node: &Node, socket: &UdpSocket, to: Audience) {
+async fn announce(node: &Node, socket: &UdpSocket, to: Recipients) {
     let settings = node.settings();
     let announcement =
         Announcement { known: node.known_state(), zone: settings.zone.clone(), reading: latest_reading(node) };
     send(node, socket, to, &PeerMessage::Announcement(announcement)).await;
 }
 
-async fn send(node: &Node, socket: &UdpSocket, to: Audience, message: &PeerMessage) {
-    for machine in audience(node, to) {
+async fn send(node: &Node, socket: &UdpSocket, to: Recipients, message: &PeerMessage) {
+    for machine in recipients(node, to) {
         send_to(node, socket, machine, message).await;
     }
 }
 
 async fn send_to(node: &Node, socket: &UdpSocket, machine: IpAddr, message: &PeerMessage) {
-    // A datagram that can't be sent is lost like any other; the next one follows.
+    // A datagram that cannot be sent counts as lost; later messages make up for it.
     let _ = socket.send_to(&gate_protocol::encode(message), node.settings().peers_of(machine)).await;
 }
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -96,7 +96,7 @@
     /// Machines beside instances of this node's service.
     pub service_machines: RefCell<ServiceMachines>,
     /// Gates that were asked what they suspect and have not answered.
-    pub unheard_gates: RefCell<HashSet<IpAddr>>,
+    pub pending_gates: RefCell<HashSet<IpAddr>>,
     /// How recent the knowledge is, and who reads the source.
     pub freshness: RefCell<Freshness>,
     /// Since when the source can't be read from here.
@@ -143,7 +143,7 @@
             gate_connections: GateConnectionPool::default(),
             gate: Gate::default(),
             service_machines: RefCell::default(),
-            unheard_gates: RefCell::default(),
+            pending_gates: RefCell::default(),
             freshness: RefCell::new(freshness),
             source_unreachable_since: Cell::new(None),
             request_bytes: Cell::new(LARGEST_PIECES as f64),
@@ -269,8 +269,8 @@
 
     /// True when as many requests are on their way as the machine's memory allows.
     pub fn is_at_request_limit(&self) -> bool {
-        let most = self.settings().machine.max_requests_of(self.request_bytes.get() as u64);
-        self.stop.in_flight() > most
+        let max = self.settings().machine.max_requests_of(self.request_bytes.get() as u64);
+        self.stop.in_flight() > max
     }
 
     /// Calls `with` with the node's random numbers.
--- a/crates/sidecar/tests/decisions/freshness.rs
+++ b/crates/sidecar/tests/decisions/freshness.rs
@@ -93,10 +93,10 @@
     let zone = zone();
     let elsewhere = IpAddr::V4(Ipv4Addr::new(10, 2, 0, 1));
     let mut freshness = Freshness::new(zone[2]);
-    freshness.on_read_elsewhere(reading(elsewhere, 1_000));
+    freshness.on_other_zone_reading(reading(elsewhere, 1_000));
     assert!(!freshness.should_read(2, at(1_500)));
     freshness.set_reader(true);
-    freshness.on_read_elsewhere(reading(elsewhere, 2_000));
+    freshness.on_other_zone_reading(reading(elsewhere, 2_000));
     assert!(freshness.should_read(2, at(2_100)), "each zone has a reader of its own");
 }
 
@@ -107,8 +107,8 @@
     let elsewhere = IpAddr::V4(Ipv4Addr::new(10, 2, 0, 1));
     let (mut first, mut second) = (Freshness::new(zone[0]), Freshness::new(zone[1]));
     for millis in (0..5_000).step_by(250) {
-        first.on_read_elsewhere(reading(elsewhere, millis));
-        second.on_read_elsewhere(reading(elsewhere, millis));
+        first.on_other_zone_reading(reading(elsewhere, millis));
+        second.on_other_zone_reading(reading(elsewhere, millis));
     }
     assert!(first.should_read(0, at(5_000)));
     assert!(!second.should_read(1, at(5_000)));
@@ -152,7 +152,7 @@
     for millis in (0..3_000 + STOP_TAKES_MS).step_by(50) {
         reader.on_read(at(millis));
         assert!(reader.should_read(0, at(millis)), "it goes on");
-        if let Some(told) = reader.told(millis >= 3_000) {
+        if let Some(told) = reader.announced(millis >= 3_000) {
             other.on_announced(told);
         }
         let takes = other.should_read(1, at(millis));
@@ -160,7 +160,7 @@
     }
     assert!(takes_over.is_some_and(|millis| (3_000..3_000 + STOP_TAKES_MS).contains(&millis)), "{takes_over:?}");
     other.on_read(at(6_000));
-    assert_eq!(other.told(false), Some(reading(zone[1], 6_000)));
+    assert_eq!(other.announced(false), Some(reading(zone[1], 6_000)));
     reader.on_announced(reading(zone[1], 6_000));
-    assert_eq!(reader.told(true), Some(reading(zone[1], 6_000)), "the word of others is passed on");
+    assert_eq!(reader.announced(true), Some(reading(zone[1], 6_000)), "the word of others is passed on");
 }
--- a/crates/sidecar/tests/decisions/suspects.rs
+++ b/crates/sidecar/tests/decisions/suspects.rs
@@ -2,7 +2,7 @@
 
 use olivegate_quarantine::{Age, ContentDigest, ReportedEnd, SuspectReport, SuspectedContent};
 use olivegate_sidecar::gate_protocol;
-use olivegate_sidecar::peers::suspects::{Purpose, SuspectNews, datagrams};
+use olivegate_sidecar::peers::suspects::{Purpose, SuspectUpdate, datagrams};
 use olivegate_sidecar::peers::{MAX_DATAGRAM, PeerMessage};
 use olivegate_types::{InstanceName, ServiceName};
 use rstest::rstest;
@@ -32,8 +32,8 @@
     let parts = datagrams(reports.clone());
     for part in &parts {
         let service = ServiceName::new("a-service");
-        let news = SuspectNews { service, reports: part.clone(), purpose: Purpose::Tell };
-        let size = gate_protocol::encode(&PeerMessage::Suspects(news)).len();
+        let update = SuspectUpdate { service, reports: part.clone(), purpose: Purpose::Notify };
+        let size = gate_protocol::encode(&PeerMessage::Suspects(update)).len();
         assert!(size <= MAX_DATAGRAM, "{size} bytes");
     }
     assert_eq!(parts.concat(), reports);
