--- a/crates/sidecar/src/follow/mod.rs
+++ b/crates/sidecar/src/follow/mod.rs
@@ -1,15 +1,15 @@
-//! Reads the source: first knowledge at the start, then changes as they come.
+//! Reads the source: the initial state at the start, then changes as they occur.
 //!
-//! Every call of a source costs, and most nodes need none: they learn from peers. A node
-//! that has just started reads once, as cheaply as the source allows (`start`). Of those
-//! that run, the readers of each zone wait for changes (`watch`).
+//! Every call loads the source, and most nodes need none because they learn from peers. A node that has just
+//! started reads once, by the cheapest call that the source offers (`start`). After that, the readers of each
+//! zone wait for changes (`watch`).
 //!
-//! One failed call says nothing: a waiting call may be cut at any time. Two in a row, or
-//! one without an answer, mean that the source is away.
+//! A single failed call says nothing, because a waiting call may be cut off at any time. Two failures in a
+//! row, or one timeout, mean that the source is unreachable.
 //!
-//! Where changes are not to be had one by one, everything is read: the source has forgotten its
-//! history, or lost what it had acknowledged and begun a new epoch, or a waiting call was not told of a
-//! change. Readings that bring nothing new are followed by pauses that grow.
+//! Everything is read again where single changes are not available: if the source has compacted its history,
+//! if it lost acknowledged writes and began a new epoch, or if a waiting call missed a change. Reads that
+//! bring nothing new are followed by an exponential backoff.
 
 mod start;
 pub mod watch;
@@ -25,31 +25,31 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// Age of the proof from which on the configuration is read, as a part of the age up to which
-/// keys count: a reading may be missed, and other nodes hear of it later.
-const PROVED_PART: f64 = 0.16;
-/// Time limit of a call, beyond the wait for changes.
-const CALL_LIMIT: Duration = Duration::from_millis(900);
-/// First pause after a failed call; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-/// Longest pause after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Interval at which a node that does not read looks whether it should.
+/// Age of the proof at which the configuration is read again, as a fraction of the age up to which keys are
+/// accepted. It leaves time for a failed read, and for other nodes to hear of the result.
+const PROOF_RENEWAL_FRACTION: f64 = 0.16;
+/// Time limit of a call, in addition to the wait for changes.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Backoff after the first failed call; doubled after each further one.
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
+/// Maximum backoff after failed calls.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// Interval at which a node that does not read checks whether it should.
 const IDLE_POLL: Duration = Duration::from_millis(100);
-/// Pause after changes, so that those that come together are read by one call.
-const GATHER: Duration = Duration::from_millis(120);
-/// Failures in a row that show that the source is away.
-const FAILURES_TO_BE_AWAY: u32 = 2;
+/// Delay after changes, so that changes that occur together are read by one call.
+const BATCH_DELAY: Duration = Duration::from_millis(120);
+/// Consecutive failures after which the source counts as unreachable.
+const OUTAGE_FAILURES: u32 = 2;
 
 /// Follows the source until the process ends.
 pub async fn follow<S: Source>(node: Rc<Node>, source: Rc<S>) {
-    start::learn(&node, source.as_ref()).await;
+    start::bootstrap(&node, source.as_ref()).await;
     let mut failures = 0;
-    let mut fruitless = 0;
+    let mut empty_reads = 0;
     let mut is_alone = true;
     loop {
         if is_alone && start::knows_peers(&node) {
-            // Others may have been reading unheard.
+            // Other nodes may have been reading without this node hearing of it.
             is_alone = false;
             node.freshness.borrow_mut().set_reader(false);
         }
@@ -60,16 +60,16 @@
             continue;
         }
         match read(&node, source.as_ref(), failures > 0).await {
-            Ok(Progress::Followed) => (failures, fruitless) = (0, 0),
-            Ok(Progress::Fruitless) => {
-                // Without a pause, a source that could not be followed was read 45 times a second.
-                (failures, fruitless) = (0, fruitless + 1);
-                tokio::time::sleep(pause(&node, fruitless)).await;
+            Ok(Progress::Followed) => (failures, empty_reads) = (0, 0),
+            Ok(Progress::NothingNew) => {
+                // Without a backoff, a source that could not be followed was read 45 times per second.
+                (failures, empty_reads) = (0, empty_reads + 1);
+                tokio::time::sleep(backoff(&node, empty_reads)).await;
             }
             Err(error) => {
                 failures += 1;
                 note_failure(&node, &error, failures);
-                tokio::time::sleep(pause(&node, failures)).await;
+                tokio::time::sleep(backoff(&node, failures)).await;
             }
         }
         tokio::task::yield_now().await;
@@ -81,109 +81,113 @@
     node.freshness.borrow().should_read(rank, clock::now())
 }
 
-/// True when this node goes on reading or begins to. Before it begins it asks peers: they may
-/// know of a reader that it does not hear.
+/// Returns true if this node continues to read or starts to. Before it starts, it asks peers, which may know
+/// of a reader that this node does not hear.
 async fn becomes_reader(node: &Node) -> bool {
     if !should_read(node) || node.freshness.borrow().is_reader() {
         return should_read(node);
     }
-    start::ask_peers(node).await;
+    start::fetch_from_peers(node).await;
     should_read(node)
 }
 
-/// What a reading brought.
+/// The result of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     /// The source is being followed.
     Followed,
     /// Everything was read, and nothing in it was new.
-    Fruitless,
+    NothingNew,
 }
 
-/// Reads what has changed since what this node knows; everything when that is not to be had.
-/// After a failure the cheapest call finds out whether the source answers again.
+/// Reads the changes since the known revision, or everything if they are not available. After a failure, the
+/// cheapest call first checks whether the source answers again.
 async fn read<S: Source>(node: &Node, source: &S, has_failed: bool) -> Result<Progress, SourceError> {
     if has_failed {
-        source.probe(CALL_LIMIT).await?;
-        count(node, "probed");
+        source.probe(CALL_TIMEOUT).await?;
+        count_call(node, "probed");
     }
     let known = node.known_state().directory;
     if known == Revision::default() {
         return read_everything(node, source).await;
     }
     match follow_changes(node, source, known).await {
-        Ok(Waited::Ended) => Ok(Progress::Followed),
-        Ok(Waited::Missed) => {
+        Ok(FollowOutcome::Done) => Ok(Progress::Followed),
+        Ok(FollowOutcome::Missed) => {
             log::info!("event=source_change_missed known={known}");
-            count(node, "missed");
+            count_call(node, "missed");
             read_everything(node, source).await
         }
         Err(SourceError::HistoryCompacted) => {
             log::info!("event=source_history_gone known={known}");
-            count(node, "history-gone");
+            count_call(node, "history-gone");
             read_everything(node, source).await
         }
         Err(SourceError::EpochChanged) => {
             log::warn!("event=source_epoch_changed known={known}");
-            count(node, "epoch-changed");
+            count_call(node, "epoch-changed");
             read_everything(node, source).await
         }
         Err(error) => Err(error),
     }
 }
 
-/// How waiting for changes ended.
-enum Waited {
-    /// Changes came, or none, or another node reads.
-    Ended,
-    /// There are changes that the waiting call did not tell.
+/// How following the changes ended.
+enum FollowOutcome {
+    /// Changes were applied, or there were none, or another node reads.
+    Done,
+    /// The waiting call missed changes.
     Missed,
 }
 
-async fn follow_changes<S: Source>(node: &Node, source: &S, known: Revision) -> Result<Waited, SourceError> {
-    if wants_proof(node) {
+async fn follow_changes<S: Source>(
+    node: &Node,
+    source: &S,
+    known: Revision,
+) -> Result<FollowOutcome, SourceError> {
+    if needs_proof(node) {
         prove_configuration(node, source).await?;
     }
     match watch::changes(node, source, known).await? {
-        watch::Waited::Changes(changes) => {
+        watch::WaitOutcome::Changes(changes) => {
             let is_busy = !changes.changes.is_empty();
-            take_changes(node, changes);
+            apply_changes(node, changes);
             if is_busy {
-                tokio::time::sleep(GATHER).await;
+                tokio::time::sleep(BATCH_DELAY).await;
             }
-            Ok(Waited::Ended)
+            Ok(FollowOutcome::Done)
         }
-        watch::Waited::NotNeeded => Ok(Waited::Ended),
-        watch::Waited::Missed => Ok(Waited::Missed),
+        watch::WaitOutcome::NotNeeded => Ok(FollowOutcome::Done),
+        watch::WaitOutcome::Missed => Ok(FollowOutcome::Missed),
     }
 }
 
 async fn read_everything<S: Source>(node: &Node, source: &S) -> Result<Progress, SourceError> {
     let began = clock::now();
-    let snapshot = source.snapshot(CALL_LIMIT).await?;
+    let snapshot = source.snapshot(CALL_TIMEOUT).await?;
     note_answered(node);
     let seen = snapshot.configuration.as_ref().map(|configuration| configuration.version);
     let before = node.known_state();
-    take_snapshot(node, snapshot);
+    apply_snapshot(node, snapshot);
     note_proof(node, seen, began);
     note_reading(node);
-    Ok(if node.known_state() == before { Progress::Fruitless } else { Progress::Followed })
+    Ok(if node.known_state() == before { Progress::NothingNew } else { Progress::Followed })
 }
 
-/// True where keys count only while the configuration is proven to be young, and the proof ages.
-fn wants_proof(node: &Node) -> bool {
+/// Returns true if keys are accepted only while the configuration is proven to be recent, and the proof grows
+/// old.
+fn needs_proof(node: &Node) -> bool {
     let Some(within) = node.settings().bounds.keys_proven_within else { return false };
-    let is_old = |age: Duration| age >= within.mul_f64(PROVED_PART);
+    let is_old = |age: Duration| age >= within.mul_f64(PROOF_RENEWAL_FRACTION);
     node.access.has_tenants() && node.access.proof_age(clock::now()).is_none_or(is_old)
 }
 
-/// Reads the configuration alone, which proves how old what is known of keys may be at most, and tells
-/// the source's last change. The end of a wait for changes proves nothing: it may not have heard of a
-/// change.
+/// Reads the configuration alone, which renews the proof of its age, and returns the source's latest
+/// revision. The end of a wait for changes proves nothing, because the call may have missed a change.
 async fn prove_configuration<S: Source>(node: &Node, source: &S) -> Result<Revision, SourceError> {
     let began = clock::now();
-    let ConfigurationReading { configuration, revision } = source.configuration(CALL_LIMIT).await?;
-    count(node, "proved");
+    let ConfigurationReading { configuration, revision } = source.configuration(CALL_TIMEOUT).await?;
+    count_call(node, "proved");
     let seen = configuration.as_ref().map(|configuration| configuration.version);
     if let Some(configuration) = configuration {
         node.accept_configuration(configuration, "source");
@@ -195,9 +199,9 @@
     Ok(revision)
 }
 
-/// A reading that began at `began` showed the version `seen`. One that was not taken over proves
-/// nothing: it may have withdrawn keys. Nor does one of a source that lost what it had acknowledged,
-/// before the operator has had time to write it again.
+/// Records the proof from a read that began at `began` and returned the version `seen`. A configuration that
+/// was not applied proves nothing, because it may have withdrawn keys. Nor does a source that lost
+/// acknowledged writes, until the operator has had time to write them again.
 fn note_proof(node: &Node, seen: Option<ConfigurationVersion>, began: Moment) {
     let may_lack_writes = node.cluster.borrow().directory.may_lack_writes(began);
     if !may_lack_writes && seen.is_some_and(|seen| seen <= node.known_state().configuration) {
@@ -205,22 +209,22 @@
     }
 }
 
-/// Takes over a snapshot; an own state that is newer stays.
-fn take_snapshot(node: &Node, snapshot: Snapshot) {
+/// Applies a snapshot, except for state that is older than this node's.
+fn apply_snapshot(node: &Node, snapshot: Snapshot) {
     if let Some(configuration) = snapshot.configuration {
         node.accept_configuration(configuration, "source");
     }
     let (list, now) = (snapshot.list, clock::now());
     let known = node.known_state().directory;
     if list.revision < known {
-        count(node, "older");
+        count_call(node, "older");
         log::warn!("event=reading_older revision={} known={known}", list.revision);
     }
     node.update_directory("source", |directory| directory.apply_snapshot(&list.instances, list.revision, now));
 }
 
-/// Takes over changes. Those that a peer has told of meanwhile are passed over.
-fn take_changes(node: &Node, changes: Changes) {
+/// Applies changes, except for those that a peer has already reported.
+fn apply_changes(node: &Node, changes: Changes) {
     let now = clock::now();
     let revision = changes.revision;
     node.update_directory("source", |directory| {
@@ -240,28 +244,28 @@
     note_reading(node);
 }
 
-fn count(node: &Node, result: &str) {
+fn count_call(node: &Node, result: &str) {
     node.metrics.source_calls.with_label_values(&[result]).inc();
 }
 
-/// The source has answered; to be noted before what it said is taken over.
+/// Records that the source answered. To be called before its answer is applied.
 fn note_answered(node: &Node) {
-    count(node, "ok");
+    count_call(node, "ok");
     node.cluster.borrow_mut().directory.note_source_answered(clock::now());
     if node.source_unreachable_since.take().is_some() {
         log::info!("event=source_regained");
     }
 }
 
-/// What this node knows is as recent as the source.
+/// Records that this node's state is as recent as the source.
 fn note_reading(node: &Node) {
     node.freshness.borrow_mut().on_read(clock::now());
 }
 
 fn note_failure(node: &Node, error: &SourceError, failures: u32) {
-    count(node, "failed");
-    let silent = matches!(error, SourceError::TimedOut);
-    if silent || failures >= FAILURES_TO_BE_AWAY {
+    count_call(node, "failed");
+    let timed_out = matches!(error, SourceError::TimedOut);
+    if timed_out || failures >= OUTAGE_FAILURES {
         node.cluster.borrow_mut().directory.note_source_unreachable();
         if node.source_unreachable_since.get().is_none() {
             node.source_unreachable_since.set(Some(clock::now()));
@@ -270,9 +274,9 @@
     }
 }
 
-/// Exponential pause with jitter.
-fn pause(node: &Node, failures: u32) -> Duration {
-    let doubled = FIRST_PAUSE * 2_u32.pow(failures.min(8) - 1);
+/// Exponential backoff with jitter.
+fn backoff(node: &Node, failures: u32) -> Duration {
+    let doubled = MIN_BACKOFF * 2_u32.pow(failures.min(8) - 1);
     let jitter = node.random(|random| random.random_range(0.5..1.5));
-    doubled.min(LONGEST_PAUSE).mul_f64(jitter)
+    doubled.min(MAX_BACKOFF).mul_f64(jitter)
 }
