--- a/crates/sidecar/benches/answered.rs
+++ b/crates/sidecar/benches/answered.rs
@@ -1,4 +1,4 @@
-//! What it costs a request that its content is remembered as answered.
+//! Cost per request of remembering its content as answered.
 
 use std::hint::black_box;
 
--- a/crates/sidecar/src/app.rs
+++ b/crates/sidecar/src/app.rs
@@ -1,4 +1,4 @@
-//! Puts a node together; start, reload and stop.
+//! Assembles a node, and handles start, reload and shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,34 +13,34 @@
 use crate::settings::SidecarSettings;
 use crate::source::Source;
 use crate::state::Node;
-use crate::suspension::SuspensionWatch;
+use crate::suspension::SuspensionDetector;
 use crate::wire_names::WireNames;
 use crate::{edge, follow, gate, peers, status_port, transport};
 use olivegate_clock as clock;
 
-/// Interval of work that no event starts.
-const HOUSEKEEPING: Duration = Duration::from_millis(250);
-/// Rounds of it after which levels below 1 are logged: once a second.
+/// Interval of periodic work that no event triggers.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
+/// Levels below 1 are logged once per this many rounds, that is, once per second.
 const LEVELS_LOGGED_EVERY: u32 = 4;
-/// Levels that are logged at a time.
-const MOST_LEVELS_LOGGED: usize = 4;
+/// Maximum number of levels logged per round.
+const MAX_LEVELS_LOGGED: usize = 4;
 
-/// Interval at which the settings are looked at without a signal.
+/// Interval at which the settings are read again without a signal.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the settings again; the text says why they can't be used.
+/// Reads the settings again; the error says why they cannot be used.
 pub type ReadSettings = Box<dyn Fn() -> Result<SidecarSettings, String>>;
 
-/// How a node ended.
+/// How a node stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopOutcome {
-    /// Nothing was cut off.
+    /// All requests were completed.
     Drained,
     /// Requests were cut off at the end of the grace period.
     CutOff,
 }
 
-/// A node that is ready to run.
+/// A configured node that can be run.
 pub struct SidecarApp<S> {
     settings: SidecarSettings,
     wire_names: WireNames,
@@ -57,16 +57,17 @@
 }
 
 impl<S: Source + 'static> SidecarApp<S> {
-    /// A node with these settings that reads `source`; `read_settings` is asked on SIGHUP.
+    /// Creates a node with these settings that reads `source`. `read_settings` is called on SIGHUP and
+    /// periodically.
     pub fn new(settings: SidecarSettings, wire_names: WireNames, source: S, read_settings: ReadSettings) -> Self {
         SidecarApp { settings, wire_names, source, read_settings }
     }
 
-    /// Runs until SIGTERM or SIGINT has been followed to its end.
+    /// Runs until the shutdown after SIGTERM or SIGINT has completed.
     pub fn run(self) -> Result<StopOutcome, SidecarError> {
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(SidecarError::Runtime)?;
-        // The outer future is polled whenever any local task is; it must be cheap.
+        // The outer future is polled whenever any local task is, so it must be cheap.
         let serving = async { spawn_local(self.serve()).await.unwrap_or(Ok(StopOutcome::CutOff)) };
         LocalSet::new().block_on(&runtime, serving)
     }
@@ -76,14 +77,14 @@
         let mut interrupt = signal(SignalKind::interrupt()).map_err(SidecarError::Runtime)?;
         let mut hang_up = signal(SignalKind::hangup()).map_err(SidecarError::Runtime)?;
         let node = start(self.settings, self.wire_names, self.source).await?;
-        let mut look_again = tokio::time::interval(SETTINGS_INTERVAL);
-        look_again.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut settings_poll = tokio::time::interval(SETTINGS_INTERVAL);
+        settings_poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
-                _ = hang_up.recv() => reload(&node, &self.read_settings, Told::BySignal),
-                _ = look_again.tick() => reload(&node, &self.read_settings, Told::ByNobody),
+                _ = hang_up.recv() => reload(&node, &self.read_settings, ReloadTrigger::Signal),
+                _ = settings_poll.tick() => reload(&node, &self.read_settings, ReloadTrigger::Poll),
             }
         }
         log::info!("event=stop_begun in_flight={}", node.stop.in_flight());
@@ -93,7 +94,7 @@
     }
 }
 
-/// Starts a node's work on the present thread's local tasks and returns what they share.
+/// Spawns the tasks of a node on the current thread and returns its shared state.
 pub async fn start<S: Source + 'static>(
     settings: SidecarSettings,
     wire_names: WireNames,
@@ -156,45 +157,45 @@
     );
 }
 
-/// What made the node read its settings again.
+/// Why the settings are read again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
-    /// The operator.
-    BySignal,
-    /// The node looked by itself: the file may change without a signal.
-    ByNobody,
+enum ReloadTrigger {
+    /// The operator sent SIGHUP.
+    Signal,
+    /// Periodic check, as the file may change without a signal.
+    Poll,
 }
 
-/// Puts changed settings in force. Addresses that are bound already stay as they are.
-fn reload(node: &Node, read_settings: &ReadSettings, told: Told) {
+/// Puts changed settings in force. Sockets that are already bound stay as they are.
+fn reload(node: &Node, read_settings: &ReadSettings, trigger: ReloadTrigger) {
     match read_settings() {
         Ok(mut settings) => {
             let current = node.settings();
             if settings.listen != current.listen {
-                if told == Told::BySignal {
+                if trigger == ReloadTrigger::Signal {
                     log::warn!("event=reload_partial reason=\"listen addresses change only with a restart\"");
                 }
                 settings.listen = current.listen;
             }
             let changed = settings != *current;
             node.replace_settings(settings);
-            if changed || told == Told::BySignal {
+            if changed || trigger == ReloadTrigger::Signal {
                 log::info!("event=reloaded changed={changed}");
             }
         }
-        Err(reason) if told == Told::BySignal => log::error!("event=reload_failed reason={reason:?}"),
-        // A file that is just being written is read again soon.
+        Err(reason) if trigger == ReloadTrigger::Signal => log::error!("event=reload_failed reason={reason:?}"),
+        // The file may be in the middle of a write; it is read again soon.
         Err(reason) => log::debug!("event=reload_failed reason={reason:?}"),
     }
 }
 
 async fn housekeeping(node: Rc<Node>) {
-    let mut interval = tokio::time::interval(HOUSEKEEPING);
+    let mut interval = tokio::time::interval(HOUSEKEEPING_INTERVAL);
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut suspension = SuspensionWatch::default();
+    let mut suspension = SuspensionDetector::default();
     for round in 1_u32.. {
         interval.tick().await;
-        if let Some(suspended) = suspension.look(clock::now(), clock::monotonic_now()) {
+        if let Some(suspended) = suspension.check(clock::now(), clock::monotonic_now()) {
             log::warn!("event=suspended for_ms={}", suspended.as_millis());
             node.metrics.suspensions.inc();
         }
@@ -206,9 +207,9 @@
     }
 }
 
-/// Tells which levels hold requests back, and what moved them last.
+/// Logs the levels that currently hold back requests, and what changed them last.
 fn log_levels(node: &Node) {
-    for binding in node.levels.borrow().binding_levels(clock::now()).iter().take(MOST_LEVELS_LOGGED) {
+    for binding in node.levels.borrow().binding_levels(clock::now()).iter().take(MAX_LEVELS_LOGGED) {
         log::info!(
             "event=level_low class={} importance={} level={:.2} service={} hop={} held={:.2} age_ms={}",
             binding.class.root_kind,
--- a/crates/sidecar/src/error.rs
+++ b/crates/sidecar/src/error.rs
@@ -6,9 +6,9 @@
 /// Why the node could not start.
 #[derive(Debug)]
 pub enum SidecarError {
-    /// An address could not be bound.
+    /// A socket could not be bound.
     Bind {
-        /// What the address is for.
+        /// What the socket is for.
         port: &'static str,
         /// The address.
         address: SocketAddr,
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,33 +1,32 @@
-//! A node beside one instance of a service.
+//! The sidecar node beside one instance of a service.
 //!
-//! Every request starts at the node on the caller's own machine, its *edge*; the node on
-//! the machine of the instance that runs it is the instance's *gate*. Both are this
-//! program. Nodes keep nothing on disk, and no node is set aside for control.
+//! Every request enters at the node on the caller's machine, its *edge*. The node on the machine of the
+//! instance that runs the request is the instance's *gate*. Both roles are played by this program. Nodes
+//! store nothing on disk, and there is no separate control node.
 //!
 //! Decisions, without I/O:
-//! - [`model`]: configuration and instances as the product knows them.
-//! - [`routes`]: which route a request takes, and which part of a weighted route.
-//! - [`directory`]: the instances that are known, and when one is no longer believed.
-//! - [`declared`]: the rates that instances declare in their answers.
+//! - [`model`]: configuration and instances.
+//! - [`routes`]: selects the route of a request, and the service of a weighted route.
+//! - [`directory`]: the known instances, and when they expire.
+//! - [`declared`]: the rates that instances declare in their responses.
 //! - [`importance`]: how important a request is.
 //! - [`lineage`]: which requests are calls of the instance beside the node.
-//! - [`edge::attempts`]: what follows when an attempt did not give an answer.
-//! - [`suspension`]: whether the machine was suspended.
+//! - [`edge::attempts`]: what happens when an attempt gave no response.
+//! - [`suspension`]: detects that the machine was suspended.
 //! - [`peers::freshness`]: which nodes read the source, and when another takes over.
-//!
 //! - [`access`]: who may make requests, and how many.
 //!
 //! I/O:
-//! - [`source`]: the port through which configuration and instances are read.
-//! - [`follow`]: reads the source, lists first and changes afterwards.
-//! - [`connection_limit`]: bounds the connections that a port holds.
+//! - [`source`]: the trait through which configuration and instances are read.
+//! - [`follow`]: reads the source, lists first and then changes.
+//! - [`connection_limit`]: limits the connections of a port.
 //! - [`edge`]: connections of callers and the attempts of their requests.
 //! - [`gate`]: the queue in front of the instance and the exchanges with it.
 //! - [`gate_protocol`]: messages between edge and gate.
 //! - [`lateness`]: measures whether this process keeps up.
-//! - [`peers`]: what nodes tell each other.
+//! - [`peers`]: messages between nodes.
 //! - [`status_port`]: readiness and metrics.
-//! - [`app`]: puts all this together; start, reload and stop.
+//! - [`app`]: assembles these parts; start, reload and shutdown.
 
 pub mod access;
 pub mod app;
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, in the usual text format.
+//! Counters and histograms in the Prometheus text format.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -12,46 +12,46 @@
     Registry, TextEncoder,
 };
 
-/// Bounds of the latency buckets, in seconds.
+/// Upper bounds of the latency buckets in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0];
 
-/// Tenants that are counted by name: each makes a time series for every outcome and node.
-const MOST_TENANT_LABELS: usize = 128;
-/// Label of the tenants beyond them.
+/// Number of tenants with a label of their own; each adds a time series per outcome and node.
+const MAX_TENANT_LABELS: usize = 128;
+/// Label shared by all further tenants.
 const OTHER_TENANTS: &str = "(other)";
 
 const NO_LABELS: &[&str] = &[];
 
-/// All metrics of a sidecar. docs/OPERATIONS.md explains each.
+/// All metrics of a sidecar; docs/OPERATIONS.md describes each.
 pub struct Metrics {
     registry: Registry,
-    /// Answers to clients and to the instance, by route and outcome.
+    /// Responses to clients and to the instance, by route and outcome.
     pub answers: IntCounterVec,
-    /// Answers to tenants' requests, by tenant and outcome.
+    /// Responses to tenants' requests, by tenant and outcome.
     tenants: IntCounterVec,
     /// Tenants that have a label of their own.
     labelled: RefCell<HashSet<TenantName>>,
-    /// Time from a request's arrival to its answer, by route.
+    /// Time from a request's arrival to its response, by route.
     pub latency: HistogramVec,
-    /// Attempts that gave no answer, by reason.
+    /// Attempts without a response, by reason.
     pub failed_attempts: IntCounterVec,
     /// Offers that this gate refused, by reason.
     pub refusals: IntCounterVec,
     /// Exchanges with the instance, by result.
     pub exchanges: IntCounterVec,
-    /// Questions who is there beside this node, by what was found.
+    /// Checks of which instance is beside this node, by result.
     pub identity_questions: IntCounterVec,
-    /// Seconds for which requests waited for the answers.
+    /// Seconds for which requests waited for these checks.
     pub identity_wait: Counter,
     /// Connections made to the instance and to other nodes.
     pub connections: IntCounterVec,
     /// Calls of the source, by result.
     pub source_calls: IntCounterVec,
-    /// Suspensions of the machine that were seen.
+    /// Suspensions of the machine that were detected.
     pub suspensions: IntCounter,
-    /// Requests a second that the instance declares to take; no value where it declares none.
+    /// Requests per second that the instance declares to accept; no value if it declares none.
     declared_rate: GaugeVec,
-    /// Values of the moment: configuration version, directory revision, queue, limit.
+    /// Gauges, such as configuration version, directory revision, queue length and limit.
     pub state: IntGaugeVec,
 }
 
@@ -152,31 +152,31 @@
 }
 
 impl Metrics {
-    /// Notes an answer.
+    /// Counts a response.
     pub fn on_answer(&self, route: &str, outcome: &str, latency: Duration) {
         self.answers.with_label_values(&[route, outcome]).inc();
         self.latency.with_label_values(&[route]).observe(latency.as_secs_f64());
     }
 
-    /// Notes an answer to a tenant's request.
+    /// Counts a response to a tenant's request.
     pub fn on_tenant_answer(&self, tenant: &TenantName, outcome: &str) {
         self.tenants.with_label_values(&[self.label_of(tenant), outcome]).inc();
     }
 
-    /// The tenant's name while there are few; the later ones are counted together.
+    /// Returns the tenant's name as the label, or the shared label once there are too many tenants.
     fn label_of<'a>(&self, tenant: &'a TenantName) -> &'a str {
         let mut labelled = self.labelled.borrow_mut();
         if labelled.contains(tenant) {
             return tenant.as_str();
         }
-        if labelled.len() >= MOST_TENANT_LABELS {
+        if labelled.len() >= MAX_TENANT_LABELS {
             return OTHER_TENANTS;
         }
         labelled.insert(tenant.clone());
         tenant.as_str()
     }
 
-    /// Tells the rate that the instance beside this node declares.
+    /// Sets the rate declared by the instance beside this node; `None` removes the value.
     pub fn set_declared_rate(&self, rate: Option<DeclaredRate>) {
         match rate {
             Some(rate) => self.declared_rate.with_label_values(NO_LABELS).set(rate.per_second()),
@@ -184,12 +184,12 @@
         }
     }
 
-    /// Sets a value of the moment.
+    /// Sets a gauge.
     pub fn set_state(&self, value: &str, number: u64) {
         self.state.with_label_values(&[value]).set(i64::try_from(number).unwrap_or(i64::MAX));
     }
 
-    /// The text format.
+    /// Encodes all metrics in the text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
--- a/crates/sidecar/src/model.rs
+++ b/crates/sidecar/src/model.rs
@@ -1,4 +1,4 @@
-//! Configuration and instances as the product knows them.
+//! Configuration and instances, independent of the platform.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,7 +9,7 @@
 use olivegate_authentication::Tenant;
 use olivegate_types::{InstanceName, ServiceName, ZoneName};
 
-/// A version of the configuration; later ones are larger.
+/// Version of the configuration; later versions are larger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, BorshSerialize, BorshDeserialize)]
 pub struct ConfigurationVersion(pub u64);
 
@@ -19,8 +19,8 @@
     }
 }
 
-/// How often the source has lost changes that it had acknowledged: it came back from an older copy of
-/// itself and gives positions in its history out again. Later ones are larger.
+/// Number of times that the source lost acknowledged writes: it was restored from a backup and assigns
+/// revision numbers again that it had assigned before. Later epochs are larger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, BorshSerialize, BorshDeserialize)]
 pub struct Epoch(pub u64);
 
@@ -30,23 +30,23 @@
     }
 }
 
-/// Position in the source's history of changes; later ones are larger. The epoch goes first: without
-/// it, 22 of before a loss passes for newer than 18 of after it.
+/// Position in the source's history of changes; later ones are larger. The epoch is compared first: without
+/// it, revision 22 from before a loss would count as newer than 18 from after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, BorshSerialize, BorshDeserialize)]
 pub struct Revision {
-    /// Epoch in which the source gave it out.
+    /// Epoch in which the source assigned it.
     pub epoch: Epoch,
-    /// Number of the change, counted by the source.
+    /// Number of the change within the epoch.
     pub number: u64,
 }
 
 impl Revision {
-    /// The change of this number in `epoch`.
+    /// Creates the revision with this number in `epoch`.
     pub fn new(epoch: Epoch, number: u64) -> Self {
         Revision { epoch, number }
     }
 
-    /// The change of this number in the epoch of a source that has lost nothing.
+    /// Creates the revision with this number in the first epoch, in which nothing has been lost.
     pub fn of(number: u64) -> Self {
         Revision::new(Epoch::default(), number)
     }
@@ -58,52 +58,53 @@
     }
 }
 
-/// Start of an instance, in milliseconds of Unix time; 0 where it is not told. An instance that starts
-/// again under its name has a later one, and knows nothing of before.
+/// Start time of an instance in Unix milliseconds; 0 if unknown. An instance that restarts under its name
+/// gets a later one, and has no memory of its earlier incarnations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, BorshSerialize, BorshDeserialize)]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// The start is not told.
+    /// The incarnation is unknown.
     pub const UNKNOWN: Incarnation = Incarnation(0);
 
-    /// True where the start is told.
+    /// Returns true unless the incarnation is unknown.
     pub fn is_known(self) -> bool {
         self != Incarnation::UNKNOWN
     }
 
-    /// This start where it is told, else `other`.
+    /// Returns this incarnation if known, else `other`.
     pub fn or(self, other: Incarnation) -> Incarnation {
         if self.is_known() { self } else { other }
     }
 
-    /// Name of this start of the instance `name`, where one that starts again is another.
+    /// Returns the name of this incarnation of the instance `name`, which tells it apart from the others if
+    /// it is known.
     pub fn start_name(self, name: &InstanceName) -> InstanceName {
         if self.is_known() { InstanceName::new(format!("{name}@{}", self.0)) } else { name.clone() }
     }
 
-    /// True when both are told and differ.
+    /// Returns true if both are known and differ.
     pub fn differs_from(self, other: Incarnation) -> bool {
         self != other && self.is_known() && other.is_known()
     }
 
-    /// True when both are told and this one is the earlier.
+    /// Returns true if both are known and this one is earlier.
     pub fn is_before(self, other: Incarnation) -> bool {
         self.differs_from(other) && self < other
     }
 }
 
-/// A span of time in whole milliseconds, as nodes pass it on.
+/// Duration in whole milliseconds, as nodes exchange it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, BorshSerialize, BorshDeserialize)]
 pub struct Millis(pub u32);
 
 impl Millis {
-    /// The whole milliseconds of a span; the largest number when there are more.
+    /// Truncates a duration to whole milliseconds, capped at the maximum.
     pub fn from_duration(span: Duration) -> Self {
         Millis(u32::try_from(span.as_millis()).unwrap_or(u32::MAX))
     }
 
-    /// The span.
+    /// Converts to a [`Duration`].
     pub fn duration(self) -> Duration {
         Duration::from_millis(u64::from(self.0))
     }
@@ -112,56 +113,56 @@
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RetrySafety {
-    /// It may be sent again after any failure.
+    /// It may be retried after any failure.
     Safe,
     /// It may run at most once.
     Unsafe,
 }
 
-/// A service that takes a share of a route's requests.
+/// One of the services that a route's requests are distributed to.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the other parts.
+    /// Its share relative to the other services of the route.
     pub weight: u32,
 }
 
-/// Where requests of one host and path go, and how they are treated.
+/// A rule that maps requests of one host and path prefix to services.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Route {
-    /// Name, unique in the configuration.
+    /// Unique name within the configuration.
     pub name: String,
-    /// Host, in lower case.
+    /// Host in lower case.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub path_prefix: String,
-    /// Services that run its requests; at least one.
+    /// The services that run its requests; at least one.
     pub services: Vec<WeightedService>,
-    /// Whether its requests may run more than once.
+    /// Whether its requests may be retried after any failure.
     pub safety: RetrySafety,
-    /// Longest time that a request is held.
+    /// Maximum time for which a request is processed or queued.
     pub timeout: Option<Millis>,
-    /// Time within which an answer is worth most.
+    /// Time within which a response has its full value.
     pub target_latency: Millis,
-    /// Rank among routes; 0 is shed last.
+    /// Priority among routes; 0 is shed last.
     pub priority: u32,
-    /// Most instances that one request is sent to.
+    /// Maximum number of instances that one request is sent to.
     pub attempts: u32,
-    /// True when its requests need no key.
+    /// Whether its requests need no key.
     pub is_public: bool,
 }
 
-/// What clients may send.
+/// Limits on what clients may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ClientLimits {
-    /// Longest head in bytes.
+    /// Maximum size of a request head in bytes.
     pub max_head_bytes: u32,
-    /// Longest body in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// Longest time between a head's first byte and its last.
+    /// Maximum time between the first and the last byte of a request head.
     pub head_timeout: Millis,
-    /// Longest time that a connection rests between requests.
+    /// Maximum idle time of a connection between requests.
     pub idle_timeout: Millis,
 }
 
@@ -176,18 +177,18 @@
     }
 }
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Configuration {
     /// Version.
     pub version: ConfigurationVersion,
     /// Routes.
     pub routes: Vec<Route>,
-    /// Limits of clients.
+    /// Limits on clients.
     pub limits: ClientLimits,
-    /// Tenants; none where requests need no keys.
+    /// Tenants; empty if requests need no keys.
     pub tenants: Vec<Tenant>,
-    /// Path by which instances of each service are asked whether they are healthy, where it is told.
+    /// Health check path of the instances of each service that has one.
     pub health_paths: BTreeMap<ServiceName, String>,
 }
 
@@ -196,31 +197,31 @@
 pub enum InstanceState {
     /// It takes new requests.
     Ready,
-    /// It is about to end and takes no new requests.
+    /// It is shutting down and takes no new requests.
     Draining,
 }
 
-/// An instance as the source lists it.
+/// An instance as listed by the source.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Instance {
-    /// Its name; an instance may start again under the one that it had.
+    /// Its name, which it keeps when it restarts.
     pub name: InstanceName,
-    /// Its start.
+    /// Its start time.
     pub incarnation: Incarnation,
-    /// Service that it runs.
+    /// The service that it runs.
     pub service: ServiceName,
-    /// Where it listens; only processes of its own machine reach it.
+    /// Its listen address, which only processes on its own machine reach.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// Requests that it works on at a time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it takes new requests.
     pub state: InstanceState,
 }
 
 impl Instance {
-    /// Name of this start of the instance.
+    /// Returns the name of this incarnation of the instance.
     pub fn start_name(&self) -> InstanceName {
         self.incarnation.start_name(&self.name)
     }
--- a/crates/sidecar/src/settings.rs
+++ b/crates/sidecar/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a sidecar node: read from TOML, checked, every mistake named.
+//! Settings of a sidecar node, read from TOML and validated; every error is reported with its field.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -13,91 +13,91 @@
 pub struct ListenAddresses {
     /// Requests of clients and of the instance beside the node.
     pub outbound: SocketAddr,
-    /// Offers of other nodes.
+    /// Requests that other nodes offer for the instance.
     pub inbound: SocketAddr,
-    /// Address by which other machines know this one; another than that of `inbound` where
-    /// something in between translates it.
+    /// Address by which other machines know this one. Differs from that of `inbound` behind address
+    /// translation.
     pub advertised: IpAddr,
-    /// Readiness.
+    /// Readiness checks.
     pub readiness: SocketAddr,
-    /// Announcements of other nodes, by UDP.
+    /// Messages of other nodes, by UDP.
     pub peers: SocketAddr,
-    /// Metrics; none when absent.
+    /// Metrics, if enabled.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Bounds that the operator promises callers, and that the node keeps.
+/// Bounds that the operator guarantees to callers and that the node keeps.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
-    /// After this time without a fault the source counts as calm again.
+    /// Time without a fault after which the source counts as stable again.
     pub contact: Duration,
-    /// Time from a stop signal to the end that the platform enforces.
+    /// Time between the stop signal and the forced end by the platform.
     pub grace_period: Duration,
-    /// A leaving instance gets no requests after this time.
+    /// Time after which a leaving instance gets no more requests.
     pub drain: Duration,
-    /// Requests of a service that may be repeats, as a fraction of its requests.
+    /// Retries of a service's requests that are allowed, as a fraction of the requests.
     pub repeat_ratio: f64,
-    /// Repeats allowed beyond that in each window, over all nodes.
+    /// Retries allowed beyond that in each window, over all nodes.
     pub repeat_slack: f64,
-    /// Window of the repeats.
+    /// Length of the window.
     pub repeat_window: Duration,
-    /// A key counts only while the configuration that holds it is proven to be younger than this;
-    /// without a bound, until a newer configuration is known.
+    /// A key is accepted only while the configuration that holds it is proven to be younger than this.
+    /// Without a bound, it is accepted until a newer configuration is known.
     pub keys_proven_within: Option<Duration>,
-    /// By how much all nodes together may be off the quota of a tenant.
+    /// Deviation from the quota of a tenant that is allowed to all nodes together.
     pub quota: Tolerance,
 }
 
-/// Descriptors kept for files, the source, readiness and the instance.
-const KEPT_DESCRIPTORS: u64 = 300;
-/// Memory that one request may take on its way, in bytes: its body and its answer, each up to
-/// the size that is read whole.
-const LARGEST_REQUEST: u64 = 128 << 10;
-/// Memory that a request on its way takes at the least, in bytes: tasks, buffers, connections.
-const SMALLEST_REQUEST: u64 = 16 << 10;
-/// Requests of all sizes are on their way at once; this many times their mean is counted.
-const TIMES_MEAN: u64 = 4;
-/// Part of the memory that requests on their way may take.
-const REQUEST_MEMORY_PART: u64 = 4;
-
-/// What the machine offers the process.
+/// File descriptors reserved for files, the source, readiness and the instance.
+const RESERVED_DESCRIPTORS: u64 = 300;
+/// Maximum memory of one request in flight in bytes: its body and its response, each up to the size that is
+/// read as a whole.
+const MAX_REQUEST_BYTES: u64 = 128 << 10;
+/// Minimum memory of one request in flight in bytes: tasks, buffers, connections.
+const MIN_REQUEST_BYTES: u64 = 16 << 10;
+/// Requests of all sizes are in flight together, so this multiple of their mean size is assumed.
+const MEAN_MULTIPLIER: u64 = 4;
+/// Requests in flight may take one part in this many of the memory.
+const REQUEST_MEMORY_DIVISOR: u64 = 4;
+
+/// Resources that the machine offers the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineLimits {
     /// Memory in megabytes.
     pub memory_mb: u64,
-    /// Descriptors.
+    /// Maximum number of file descriptors.
     pub max_descriptors: u64,
 }
 
 impl MachineLimits {
-    /// Most connections that each of the two ports for requests accepts at a time. An accepted
-    /// connection may need one of the node's own.
+    /// Returns the maximum number of concurrent connections on each of the two ports for requests. An
+    /// accepted connection may need one of the node's own.
     pub fn max_connections(&self) -> usize {
-        let left = self.max_descriptors.saturating_sub(KEPT_DESCRIPTORS) / 4;
+        let left = self.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / 4;
         usize::try_from(left.max(16)).unwrap_or(usize::MAX)
     }
 
-    /// Most requests that may be on their way at a time, whatever their size.
+    /// Returns the maximum number of requests in flight, whatever their size.
     pub fn max_requests(&self) -> usize {
-        self.max_requests_of(LARGEST_REQUEST)
+        self.max_requests_of(MAX_REQUEST_BYTES)
     }
 
-    /// Most requests that may be on their way at a time where they hold `mean` bytes on average.
+    /// Returns the maximum number of requests in flight that take `mean` bytes on average.
     pub fn max_requests_of(&self, mean: u64) -> usize {
-        let each = mean.saturating_mul(TIMES_MEAN).clamp(SMALLEST_REQUEST, LARGEST_REQUEST);
-        let requests = (self.memory_mb << 20) / REQUEST_MEMORY_PART / each;
+        let each = mean.saturating_mul(MEAN_MULTIPLIER).clamp(MIN_REQUEST_BYTES, MAX_REQUEST_BYTES);
+        let requests = (self.memory_mb << 20) / REQUEST_MEMORY_DIVISOR / each;
         usize::try_from(requests.max(16)).unwrap_or(usize::MAX)
     }
 }
 
-/// Checked settings.
+/// Validated settings of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SidecarSettings {
     /// Name of the node.
     pub node: NodeName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Service of the instance beside it.
+    /// Service of the instance beside the node.
     pub service: ServiceName,
     /// Address of that instance.
     pub instance: SocketAddr,
@@ -109,16 +109,16 @@
     pub heartbeat: Duration,
     /// Bounds to keep.
     pub bounds: Bounds,
-    /// Limits of the machine.
+    /// Resources of the machine.
     pub machine: MachineLimits,
-    /// What follows for requests with which instances end.
+    /// Limits on requests that end instances.
     pub quarantine: QuarantinePolicy,
 }
 
 const ADDRESS: &str = "an address such as 127.0.0.1:8080";
 
 impl SidecarSettings {
-    /// Reads and checks settings text.
+    /// Parses and validates settings.
     pub fn from_toml(text: &str) -> Result<Self, FieldErrors> {
         let mut reader = TableReader::parse(text)?;
         let settings = read(&mut reader);
@@ -126,17 +126,17 @@
         settings.ok_or_else(|| FieldErrors(Vec::new()))
     }
 
-    /// Own address, by which other nodes and the instance know this machine.
+    /// Returns the address by which other nodes and the instance know this machine.
     pub fn ip(&self) -> IpAddr {
         self.listen.advertised
     }
 
-    /// Address at which the node on `machine` takes offers: ports are alike on all machines.
+    /// Returns the inbound address of the node on `machine`; ports are the same on all machines.
     pub fn inbound_of(&self, machine: IpAddr) -> SocketAddr {
         SocketAddr::new(machine, self.listen.inbound.port())
     }
 
-    /// Address at which the node on `machine` takes announcements.
+    /// Returns the address for messages to the node on `machine`.
     pub fn peers_of(&self, machine: IpAddr) -> SocketAddr {
         SocketAddr::new(machine, self.listen.peers.port())
     }
@@ -189,32 +189,32 @@
     Some((address?, heartbeat))
 }
 
-/// A span of milliseconds, whole or not.
+/// Reads a duration in milliseconds, possibly with a fraction.
 fn read_millis(reader: &mut TableReader, field: &str, default: f64) -> Duration {
     Duration::from_secs_f64(reader.number_or(field, default, 1.0..=3_600_000.0) / 1_000.0)
 }
 
-/// A span of seconds, whole or not.
+/// Reads a duration in seconds, possibly with a fraction.
 fn read_seconds(reader: &mut TableReader, field: &str, default: f64) -> Duration {
     Duration::from_secs_f64(reader.number_or(field, default, 0.001..=3_600.0))
 }
 
-/// Ends of instances that a limit may ask for at most.
-const MOST_ENDS: u64 = 8;
+/// Maximum number of ended instances that a limit may require.
+const MAX_ENDS: u64 = 8;
 
 fn read_quarantine(reader: &mut TableReader) -> QuarantinePolicy {
     let default = QuarantinePolicy::default();
-    let held_after = reader.integer_or("held_after_ends", u64::from(default.held_after), 1..=MOST_ENDS);
-    let least = held_after.min(MOST_ENDS);
+    let held_after = reader.integer_or("held_after_ends", u64::from(default.held_after), 1..=MAX_ENDS);
+    let min = held_after.min(MAX_ENDS);
     let refused_after =
-        reader.integer_or("refused_after_ends", u64::from(default.refused_after).max(least), least..=MOST_ENDS);
+        reader.integer_or("refused_after_ends", u64::from(default.refused_after).max(min), min..=MAX_ENDS);
     QuarantinePolicy {
         held_after: held_after as u32,
         refused_after: refused_after as u32,
         extra_if_answered: reader.integer_or(
             "answered_before_ends",
             u64::from(default.extra_if_answered),
-            0..=MOST_ENDS,
+            0..=MAX_ENDS,
         ) as u32,
         probe_after: read_seconds(reader, "probe_after_s", default.probe_after.as_secs_f64()),
         memory: read_seconds(reader, "memory_s", default.memory.as_secs_f64()),
--- a/crates/sidecar/src/source.rs
+++ b/crates/sidecar/src/source.rs
@@ -1,6 +1,6 @@
-//! The port through which a node reads configuration and instances.
+//! The interface through which a node reads configuration and instances.
 //!
-//! A source can only be read. It keeps a history of numbered changes that it may forget.
+//! A source is read-only. It keeps a history of numbered changes that it may compact.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 
 use crate::model::{Configuration, Instance, Revision};
 
-/// An instance and the change that wrote it.
+/// An instance and the change that last wrote it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedInstance {
     /// The instance.
     pub instance: Instance,
-    /// Its last change.
+    /// The change that last wrote it.
     pub revision: Revision,
 }
 
@@ -23,45 +23,45 @@
 pub struct InstanceList {
     /// The instances.
     pub instances: Vec<ListedInstance>,
-    /// Changes after this one are not in the list for certain.
+    /// The list may lack changes after this one.
     pub revision: Revision,
 }
 
-/// Everything that the source holds.
+/// The full state of the source.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Snapshot {
-    /// The newest configuration, if there is one that can be read.
+    /// The latest configuration, if there is one that can be parsed.
     pub configuration: Option<Configuration>,
     /// All instances.
     pub list: InstanceList,
 }
 
-/// The newest configuration, read alone.
+/// The latest configuration, read on its own.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ConfigurationReading {
-    /// It; `None` when there is none that can be read.
+    /// The configuration; `None` if there is none that can be parsed.
     pub configuration: Option<Configuration>,
-    /// The source's last change as it was read.
+    /// The source's latest revision at the time of the read.
     pub revision: Revision,
 }
 
 /// How recent a list has to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadConsistency {
-    /// It shows all changes that the source had acknowledged before it was asked.
+    /// Includes all changes that the source acknowledged before the call.
     Latest,
-    /// It may be some seconds old, and costs least.
+    /// May be some seconds old; the cheapest read.
     MaybeStale,
 }
 
-/// One change.
+/// A change in the source's history.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
     /// A configuration was written.
     Configuration(Configuration),
-    /// An instance appeared or changed.
+    /// An instance was added or changed.
     Instance(ListedInstance),
-    /// An instance's entry went away.
+    /// The entry of an instance was removed.
     InstanceRemoved {
         /// The instance.
         name: InstanceName,
@@ -71,7 +71,7 @@
 }
 
 impl Change {
-    /// Its place in the history, where it concerns an instance.
+    /// Returns its revision if it concerns an instance.
     pub fn revision(&self) -> Option<Revision> {
         match self {
             Change::Configuration(_) => None,
@@ -81,29 +81,29 @@
     }
 }
 
-/// Changes in their order.
+/// Changes in order.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Changes {
     /// The changes.
     pub changes: Vec<Change>,
-    /// Go on reading after this one.
+    /// Revision to continue from.
     pub revision: Revision,
 }
 
 /// Why the source could not be read.
 #[derive(Debug)]
 pub enum SourceError {
-    /// No connection, or it broke.
+    /// The connection failed.
     Unreachable(String),
-    /// No answer in time.
+    /// No answer within the time limit.
     TimedOut,
-    /// It refuses for now, because of load or a fault of its own.
+    /// It refused the call because of overload or an internal error.
     Refused(u16),
-    /// The changes asked for are forgotten: read everything again.
+    /// The requested changes were compacted; everything has to be read again.
     HistoryCompacted,
-    /// It has lost what it had acknowledged, and begun a new epoch: read everything again.
+    /// It lost acknowledged writes and began a new epoch; everything has to be read again.
     EpochChanged,
-    /// The answer can't be understood.
+    /// The answer cannot be parsed.
     Malformed(String),
 }
 
@@ -111,10 +111,10 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SourceError::Unreachable(reason) => write!(formatter, "unreachable: {reason}"),
-            SourceError::TimedOut => formatter.write_str("no answer in time"),
+            SourceError::TimedOut => formatter.write_str("timed out"),
             SourceError::Refused(status) => write!(formatter, "refused with status {status}"),
-            SourceError::HistoryCompacted => formatter.write_str("history is gone"),
-            SourceError::EpochChanged => formatter.write_str("epoch has changed"),
+            SourceError::HistoryCompacted => formatter.write_str("history was compacted"),
+            SourceError::EpochChanged => formatter.write_str("epoch changed"),
             SourceError::Malformed(reason) => write!(formatter, "malformed answer: {reason}"),
         }
     }
@@ -131,17 +131,17 @@
         limit: Duration,
     ) -> impl Future<Output = Result<InstanceList, SourceError>>;
 
-    /// Reads everything, as it is now. `limit` bounds the time of each call.
+    /// Reads the full current state. `limit` bounds the time of each call.
     fn snapshot(&self, limit: Duration) -> impl Future<Output = Result<Snapshot, SourceError>>;
 
-    /// Reads the newest configuration alone, as the source holds it when it is asked.
+    /// Reads only the latest configuration, as current as the time of the call.
     fn configuration(&self, limit: Duration) -> impl Future<Output = Result<ConfigurationReading, SourceError>>;
 
-    /// Reads the source's last change as of when it is asked, by the cheapest call that tells it.
+    /// Reads the source's latest revision as of the call, by the cheapest call that returns it.
     fn latest_revision(&self, limit: Duration) -> impl Future<Output = Result<Revision, SourceError>>;
 
-    /// Waits up to `wait` for changes after `after`; none when there were none.
-    /// `limit` bounds the time of the call beyond `wait`.
+    /// Waits up to `wait` for changes after `after`; returns none if there were none. `limit` bounds the time
+    /// of the call in addition to `wait`.
     fn changes(
         &self,
         after: Revision,
@@ -149,6 +149,6 @@
         limit: Duration,
     ) -> impl Future<Output = Result<Changes, SourceError>>;
 
-    /// Finds out by the cheapest call whether the source answers within `limit`.
+    /// Checks by the cheapest call whether the source answers within `limit`.
     fn probe(&self, limit: Duration) -> impl Future<Output = Result<(), SourceError>>;
 }
--- a/crates/sidecar/src/state.rs
+++ b/crates/sidecar/src/state.rs
@@ -1,4 +1,4 @@
-//! What all parts of a node share. A node runs on one thread.
+//! State that all parts of a node share. A node runs on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -34,98 +34,98 @@
 use crate::wire_names::WireNames;
 use olivegate_clock as clock;
 
-/// Time after the source's return within which live instances have written lost entries again:
-/// two seconds, and some for the reading.
+/// Time after the source recovers within which live instances write lost entries again: two seconds, plus
+/// time to read them.
 const REWRITTEN_WITHIN: Duration = Duration::from_millis(2_300);
-/// Time within which the gate of an instance whose entry went away says whether it lives: a
-/// call of the source that is not answered, and the way to all nodes.
+/// Time within which the gate of an instance whose entry was removed attests that it is alive or confirms the
+/// removal: one call of the source that times out, and the propagation to all nodes.
 const CONFIRMED_WITHIN: Duration = Duration::from_millis(600);
 /// Heartbeats within which an instance that has just started is listed.
 const LISTED_HEARTBEATS: u32 = 2;
-/// Heartbeats of silence after which the source drops an entry.
-const LAPSED_HEARTBEATS: u32 = 3;
-/// Time that the end of an entry takes to be known here.
-const LAPSE_SLACK: Duration = Duration::from_millis(500);
-/// Time for which a reported level holds: edges where a class is rare hear of it this seldom.
-const LEVEL_HOLD: Duration = Duration::from_millis(500);
-/// Bytes that are held of a body and of an answer that are read whole, at most.
-const LARGEST_PIECES: u64 = 128 << 10;
-/// Weight of one request in the mean of what requests hold.
+/// Missed heartbeats after which the source drops an entry.
+const EXPIRY_HEARTBEATS: u32 = 3;
+/// Time until an expired entry is known here.
+const EXPIRY_SLACK: Duration = Duration::from_millis(500);
+/// How long a reported level is valid. Edges that rarely call a class hear of its level only this often.
+const LEVEL_VALIDITY: Duration = Duration::from_millis(500);
+/// Maximum bytes buffered of a body and of a response that are read as a whole.
+const MAX_BUFFERED_BYTES: u64 = 128 << 10;
+/// Weight of one request in the moving average of buffered bytes.
 const REQUEST_BYTES_WEIGHT: f64 = 0.02;
 
-/// Configuration and directory.
+/// The configuration and the directory.
 #[derive(Debug)]
 pub struct ClusterState {
     /// The configuration in force.
     pub configuration: Option<Rc<Configuration>>,
-    /// Its routes.
+    /// The routes of this configuration.
     pub routes: Option<Rc<RouteTable>>,
-    /// The instances.
+    /// The known instances.
     pub directory: Directory,
 }
 
-/// A node.
+/// The shared state of a node.
 pub struct Node {
     settings: RefCell<Rc<SidecarSettings>>,
-    /// Header names.
+    /// Header names of the deployment.
     pub wire_names: WireNames,
-    /// Configuration and directory.
+    /// The configuration and the directory.
     pub cluster: RefCell<ClusterState>,
-    /// Told when configuration or directory changed.
+    /// Notified when the configuration or the directory changed.
     pub cluster_changed: Notify,
     /// Keys and quotas.
     pub access: Access,
-    /// Observations of instances.
+    /// Load balancing state of the instances.
     pub balancer: RefCell<Balancer>,
     /// Rates that instances declare.
     pub declared_rates: RefCell<DeclaredRates>,
-    /// Deals weighted routes.
+    /// Distributes requests of weighted routes.
     pub weighted_round_robin: RefCell<WeightedRoundRobin>,
-    /// How much of each class is let begin, as gates report.
+    /// Admission levels by class, as reported by gates.
     pub levels: RefCell<LevelTable>,
     /// Whether this process keeps up with its work.
     pub pressure: RefCell<ProcessPressure>,
-    /// When that was last sampled.
+    /// When the lateness of this process was last sampled.
     pub lateness_sampled: Cell<Moment>,
-    /// Which requests are calls of the instance.
+    /// Tells which requests are calls of the instance beside this node.
     pub lineage: RefCell<Lineage>,
-    /// Connections to gates.
+    /// Connections to remote gates.
     pub gate_connections: GateConnectionPool,
-    /// The instance beside this node.
+    /// The gate of the instance beside this node.
     pub gate: Gate,
-    /// Machines beside instances of this node's service.
+    /// Machines with instances of this node's service.
     pub service_machines: RefCell<ServiceMachines>,
-    /// Gates that were asked what they suspect and have not answered.
+    /// Gates whose quarantine reports were requested and not yet received.
     pub pending_gates: RefCell<HashSet<IpAddr>>,
-    /// How recent the knowledge is, and who reads the source.
+    /// How recent the state is, and which nodes read the source.
     pub freshness: RefCell<Freshness>,
-    /// Since when the source can't be read from here.
+    /// Since when this node cannot reach the source.
     pub source_unreachable_since: Cell<Option<Moment>>,
-    /// Bytes that a request and its answer hold on average; as much as they may at first.
+    /// Moving average of the bytes that a request and its response buffer; begins with the maximum.
     request_bytes: Cell<f64>,
-    /// Attestations that are to be passed on.
+    /// Attestations that are to be forwarded.
     pub attestations: RefCell<Vec<Attestation>>,
-    /// Told when there are such.
+    /// Notified when there are attestations to forward.
     pub attestations_changed: Notify,
-    /// Stop and requests in flight.
+    /// Shutdown state and requests in flight.
     pub stop: Rc<StopState>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Bound on log lines about requests.
-    pub lines: LogBudgets,
+    /// Limits the log lines about requests.
+    pub log_budgets: LogBudgets,
     random: RefCell<SmallRng>,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node without configuration or instances.
     pub fn new(settings: SidecarSettings, wire_names: WireNames) -> Self {
-        let hold = RetentionPolicy {
+        let retention = RetentionPolicy {
             rewritten_within: REWRITTEN_WITHIN,
             confirmed_within: CONFIRMED_WITHIN,
             listed_within: settings.heartbeat * LISTED_HEARTBEATS,
-            expires_within: settings.heartbeat * LAPSED_HEARTBEATS + LAPSE_SLACK,
+            expires_within: settings.heartbeat * EXPIRY_HEARTBEATS + EXPIRY_SLACK,
         };
-        let cluster = ClusterState { configuration: None, routes: None, directory: Directory::new(hold) };
+        let cluster = ClusterState { configuration: None, routes: None, directory: Directory::new(retention) };
         let freshness = Freshness::new(settings.ip());
         Node {
             settings: RefCell::new(Rc::new(settings)),
@@ -136,7 +136,7 @@
             balancer: RefCell::default(),
             declared_rates: RefCell::default(),
             weighted_round_robin: RefCell::default(),
-            levels: RefCell::new(LevelTable::with_hold(LEVEL_HOLD)),
+            levels: RefCell::new(LevelTable::with_hold(LEVEL_VALIDITY)),
             pressure: RefCell::default(),
             lateness_sampled: Cell::new(Moment::START),
             lineage: RefCell::default(),
@@ -146,39 +146,39 @@
             pending_gates: RefCell::default(),
             freshness: RefCell::new(freshness),
             source_unreachable_since: Cell::new(None),
-            request_bytes: Cell::new(LARGEST_PIECES as f64),
+            request_bytes: Cell::new(MAX_BUFFERED_BYTES as f64),
             attestations: RefCell::default(),
             attestations_changed: Notify::new(),
             stop: Rc::default(),
             metrics: Metrics::default(),
-            lines: LogBudgets::default(),
+            log_budgets: LogBudgets::default(),
             random: RefCell::new(SmallRng::from_rng(&mut rand::rng())),
         }
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Rc<SidecarSettings> {
         self.settings.borrow().clone()
     }
 
-    /// Puts new settings in force. Addresses that are bound already stay.
+    /// Replaces the settings. Sockets that are already bound stay as they are.
     pub fn replace_settings(&self, settings: SidecarSettings) {
         *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    /// The routes in force; `None` before the first configuration.
+    /// Returns the routes in force; `None` before the first configuration.
     pub fn routes(&self) -> Option<Rc<RouteTable>> {
         self.cluster.borrow().routes.clone()
     }
 
-    /// Version of the configuration and state of the directory.
+    /// Returns the version of the configuration and the revision of the directory.
     pub fn known_state(&self) -> KnownState {
         let cluster = self.cluster.borrow();
         let configuration = cluster.configuration.as_ref().map(|configuration| configuration.version);
         KnownState { configuration: configuration.unwrap_or_default(), directory: cluster.directory.revision() }
     }
 
-    /// Puts `configuration` in force unless one as new is. True when it is in force now.
+    /// Puts `configuration` in force if it is newer than the current one and valid. Returns true if it did.
     pub fn accept_configuration(&self, configuration: Configuration, from: &str) -> bool {
         let current = self.known_state().configuration;
         if configuration.version <= current {
@@ -211,7 +211,8 @@
         true
     }
 
-    /// Changes the directory; `change` says whether anything changed.
+    /// Applies `change` to the directory, which returns whether anything changed, and updates what depends on
+    /// it.
     pub fn update_directory(&self, from: &str, change: impl FnOnce(&mut Directory) -> bool) {
         let (changed, revision, ready, restarted) = {
             let directory = &mut self.cluster.borrow_mut().directory;
@@ -228,19 +229,21 @@
         self.gate.follow_directory(self);
         self.note_service_machines();
         let cluster = self.cluster.borrow();
-        // An instance that has started again is another one: slowness and failures of the one before
-        // would keep requests from it.
+        // A restarted instance is a different one. The latency and failures of its predecessor must not keep
+        // requests away from it.
         let is_same = |name: &InstanceName| !restarted.contains(name);
         let is_listed = |name: &InstanceName| cluster.directory.instance(name).is_some();
         self.balancer.borrow_mut().retain(|name| is_listed(name) && is_same(name));
-        // One whose entry has gone may still live, and come back with what it said in force.
+        // An instance whose entry was removed may still be alive and be listed again; the rate that it
+        // declared then still applies.
         let is_known = |name: &InstanceName| cluster.directory.status(name) != InstanceStatus::Unknown;
         self.declared_rates.borrow_mut().retain(|name| is_known(name) && is_same(name));
         drop(cluster);
         self.cluster_changed.notify_waiters();
     }
 
-    /// This start of an instance has said that it leaves; `from` tells who has heard it.
+    /// Records that this incarnation of an instance announced that it is leaving. `from` names the origin for
+    /// logs.
     pub fn note_leaving(&self, name: &InstanceName, incarnation: Incarnation, from: &str) {
         if self.cluster.borrow().directory.has_announced_leaving(name, incarnation) {
             return;
@@ -255,31 +258,31 @@
         self.service_machines.borrow_mut().note(machines, clock::now());
     }
 
-    /// True when the node can serve: it knows routes and instances and does not stop.
+    /// Returns true if the node can serve: it knows routes and ready instances, and is not shutting down.
     pub fn is_ready(&self) -> bool {
         let cluster = self.cluster.borrow();
         cluster.routes.is_some() && cluster.directory.ready_count() > 0 && !self.stop.is_stopping()
     }
 
-    /// Notes what a request and its answer held.
+    /// Records the bytes that a request and its response buffered.
     pub fn note_request_bytes(&self, bytes: usize) {
         let mean = self.request_bytes.get();
         self.request_bytes.set(mean + (bytes as f64 - mean) * REQUEST_BYTES_WEIGHT);
     }
 
-    /// True when as many requests are on their way as the machine's memory allows.
+    /// Returns true if more requests are in flight than the machine's memory allows.
     pub fn is_at_request_limit(&self) -> bool {
         let max = self.settings().machine.max_requests_of(self.request_bytes.get() as u64);
         self.stop.in_flight() > max
     }
 
-    /// Calls `with` with the node's random numbers.
+    /// Calls `with` with the node's random number generator.
     pub fn random<T>(&self, with: impl FnOnce(&mut SmallRng) -> T) -> T {
         with(&mut self.random.borrow_mut())
     }
 
-    /// True when a line of `class` about this request may be logged now.
+    /// Returns true if a line of `class` about this request may be logged now.
     pub fn may_log(&self, class: LogClass, request_id: &[u8]) -> bool {
-        self.lines.take(class, request_id, clock::now())
+        self.log_budgets.take(class, request_id, clock::now())
     }
 }
--- a/crates/sidecar/src/status_port.rs
+++ b/crates/sidecar/src/status_port.rs
@@ -1,4 +1,4 @@
-//! Readiness and metrics, for the platform and operators.
+//! Port for readiness checks and metrics, for the platform and operators.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -19,18 +19,18 @@
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Connections of the platform and operators that are served at a time.
-const MOST_CONNECTIONS: usize = 32;
+/// Maximum number of concurrent connections of the platform and operators.
+const MAX_CONNECTIONS: usize = 32;
 
 /// Serves the port until the process ends.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
-    let serve = |stream, place| connection(node.clone(), stream, place);
-    transport::serve_connections("status", listener, MOST_CONNECTIONS, serve).await;
+    let serve = |stream, permit| connection(node.clone(), stream, permit);
+    transport::serve_connections("status", listener, MAX_CONNECTIONS, serve).await;
 }
 
-async fn connection(node: Rc<Node>, stream: TcpStream, place: ConnectionPermit) {
-    // Each question is short; none makes room for another.
-    place.mark_busy();
+async fn connection(node: Rc<Node>, stream: TcpStream, permit: ConnectionPermit) {
+    // Requests to this port are short, so no connection is marked idle and closed to make room for another.
+    permit.mark_busy();
     let service = service_fn(|request| {
         let node = node.clone();
         async move { Ok::<_, Infallible>(handle(&node, &request)) }
--- a/crates/sidecar/src/stop.rs
+++ b/crates/sidecar/src/stop.rs
@@ -1,9 +1,9 @@
-//! Stopping without cutting off requests.
+//! Graceful shutdown without cutting off requests.
 //!
-//! Readiness ends first. Clients learn of it within some questions and until then go on
-//! sending; each answer asks its connection to close. When clients have had time to leave,
-//! idle connections close. The process ends once nothing is in flight: the instance beside
-//! the node makes its calls through it, so requests of other nodes that still run count too.
+//! The node first reports itself as not ready. Clients notice this after a few readiness checks and keep
+//! sending until then; each response asks them to close the connection. After the time for clients to leave,
+//! idle connections are closed. The process ends once no request is in flight. Requests of other nodes that
+//! still run count too, because the instance beside the node makes its calls through it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,15 +11,15 @@
 
 use tokio::sync::Notify;
 
-/// Time after the stop signal at which idle connections of clients close: readiness is
-/// asked for once a second, and two misses take the node out.
+/// Time after the stop signal at which idle client connections are closed. Readiness is checked once per
+/// second, and two failed checks take the node out.
 pub const CLIENTS_LEAVE_WITHIN: Duration = Duration::from_millis(2_300);
-/// Part of the grace period that is kept for the end itself.
-const RESERVE: Duration = Duration::from_millis(400);
-/// How often the end looks for requests in flight.
-const POLL: Duration = Duration::from_millis(10);
+/// Part of the grace period that is reserved for ending the process.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(400);
+/// Interval at which the number of requests in flight is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// State of the stop and count of requests in flight.
+/// Shutdown state and number of requests in flight.
 #[derive(Debug, Default)]
 pub struct StopState {
     stopping: Cell<bool>,
@@ -28,29 +28,29 @@
     changed: Notify,
 }
 
-/// A request in flight; dropped when its answer has been sent or it was given up.
+/// Counts a request as in flight until it is dropped, when its response has been sent or it was given up.
 #[derive(Debug)]
 pub struct InFlightGuard(Rc<StopState>);
 
 impl StopState {
-    /// Begins the stop.
+    /// Starts the shutdown.
     pub fn begin(&self) {
         self.stopping.set(true);
         self.changed.notify_waiters();
     }
 
-    /// True once the stop has begun.
+    /// Returns true once the shutdown has started.
     pub fn is_stopping(&self) -> bool {
         self.stopping.get()
     }
 
-    /// True once clients have had time to leave: new requests of theirs are refused, so that
-    /// those in flight end in time. Calls of the instance go on.
+    /// Returns true once clients have had time to leave. New requests of theirs are then refused, so that
+    /// those in flight can complete in time. Calls of the instance are still accepted.
     pub fn is_closing(&self) -> bool {
         self.closing.get()
     }
 
-    /// Waits until idle connections are to close.
+    /// Waits until idle connections are to be closed.
     pub async fn closing(&self) {
         loop {
             let changed = self.changed.notified();
@@ -61,31 +61,31 @@
         }
     }
 
-    /// Counts a request until the result is dropped.
+    /// Counts a request as in flight until the result is dropped.
     pub fn track_request(self: &Rc<Self>) -> InFlightGuard {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightGuard(self.clone())
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Runs the stop to its end. True when nothing was cut off.
+    /// Runs the shutdown to completion. Returns true if no request was cut off.
     pub async fn run(&self, grace_period: Duration) -> bool {
         self.begin();
-        let whole = grace_period.saturating_sub(RESERVE);
-        let leave = CLIENTS_LEAVE_WITHIN.min(whole / 2);
+        let available = grace_period.saturating_sub(SHUTDOWN_RESERVE);
+        let leave = CLIENTS_LEAVE_WITHIN.min(available / 2);
         tokio::time::sleep(leave).await;
         self.closing.set(true);
         self.changed.notify_waiters();
         let drained = async {
             while self.in_flight.get() > 0 {
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        tokio::time::timeout(whole.saturating_sub(leave), drained).await.is_ok()
+        tokio::time::timeout(available.saturating_sub(leave), drained).await.is_ok()
     }
 }
 
--- a/crates/sidecar/src/suspension.rs
+++ b/crates/sidecar/src/suspension.rs
@@ -1,30 +1,30 @@
-//! Notices that the machine was suspended.
+//! Detects that the machine was suspended.
 //!
-//! Ages are counted through a suspension, so whatever must not be believed for longer than it is true
-//! has aged on waking: readings, proofs, holds, attestations, levels, deadlines. Timers stand still
-//! meanwhile and come late by it.
+//! Ages include the time of a suspension, so everything with a limited validity has aged on resume: readings,
+//! proofs, retained entries, attestations, levels, deadlines. Timers do not advance during a suspension and
+//! fire late by its length.
 
 use std::time::Duration;
 
 use olivegate_types::Moment;
 
-/// Shortest suspension that is told: two readings of clocks lie some microseconds apart, or a turn of
-/// another thread.
-const SHORTEST: Duration = Duration::from_millis(100);
+/// Shortest suspension that is reported. The two clocks are read some microseconds apart, or more if another
+/// thread is scheduled in between.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Compares the clock that counts suspension with the one that does not.
+/// Compares the clock that counts suspensions with the one that does not.
 #[derive(Debug, Default)]
-pub struct SuspensionWatch {
-    /// By how much the one was ahead of the other.
-    ahead: Option<Duration>,
+pub struct SuspensionDetector {
+    /// By how much the first clock was ahead of the second.
+    lead: Option<Duration>,
 }
 
-impl SuspensionWatch {
-    /// Looks at both clocks; the time of a suspension since the last look.
-    pub fn look(&mut self, now: Moment, awake: Moment) -> Option<Duration> {
-        let ahead = now.since(awake);
-        let before = self.ahead.replace(ahead)?;
-        let suspended = ahead.saturating_sub(before);
-        (suspended >= SHORTEST).then_some(suspended)
+impl SuspensionDetector {
+    /// Reads both clocks; returns the length of a suspension since the last call.
+    pub fn check(&mut self, now: Moment, monotonic_now: Moment) -> Option<Duration> {
+        let lead = now.since(monotonic_now);
+        let before = self.lead.replace(lead)?;
+        let suspended = lead.saturating_sub(before);
+        (suspended >= MIN_SUSPENSION).then_some(suspended)
     }
 }
--- a/crates/sidecar/src/transport.rs
+++ b/crates/sidecar/src/transport.rs
@@ -1,4 +1,4 @@
-//! TCP sockets as the node needs them.
+//! Setup of TCP sockets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 
 use crate::connection_limit::{ConnectionLimit, ConnectionPermit};
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
-/// A peer that acknowledges nothing for this long is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(4);
+/// A connection is closed if the peer acknowledges nothing for this long.
+const ACK_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Pause after a connection could not be accepted, for want of descriptors for example.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Listens on `address`.
+/// Binds a listener to `address`.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -25,12 +25,12 @@
     socket.listen(BACKLOG)
 }
 
-/// Options of every connection, accepted or made. A socket that has just failed can't
-/// take them; its next use says so.
+/// Sets the options of every connection, accepted or initiated. A socket that has just failed cannot take
+/// them; its next use returns the error.
 pub fn configure(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let _ = socket.set_tcp_nodelay(true);
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = socket.set_tcp_user_timeout(Some(ACK_TIMEOUT));
 }
 
 /// Connects to `address` within `limit`.
@@ -43,28 +43,28 @@
     Ok(stream)
 }
 
-/// Serves each connection that `listener` accepts by a task of its own, at most `most` at a
-/// time, until the process ends. Connections that rest make room for new ones. `port` names
-/// the listener in log lines.
+/// Serves each connection accepted by `listener` in a task of its own until the process ends. At most `max`
+/// are open at a time; idle ones are closed to make room for new ones. `port` names the listener in log
+/// lines.
 pub async fn serve_connections<Serving>(
     port: &str,
     listener: TcpListener,
-    most: usize,
+    max: usize,
     serve: impl Fn(TcpStream, ConnectionPermit) -> Serving,
 ) where
     Serving: Future<Output = ()> + 'static,
 {
-    let limit = ConnectionLimit::new(most);
+    let limit = ConnectionLimit::new(max);
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 configure(&stream);
-                let place = limit.acquire().await;
-                spawn_local(serve(stream, place));
+                let permit = limit.acquire().await;
+                spawn_local(serve(stream, permit));
             }
             Err(error) => {
                 log::warn!("event=accept_failed port={port} error={error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/sidecar/src/wire_names.rs
+++ b/crates/sidecar/src/wire_names.rs
@@ -1,32 +1,32 @@
-//! Names of the header fields that a deployment speaks.
+//! Names of header fields and paths in a deployment.
 
-/// Header names of one deployment; the adapter of its platform fills them in.
+/// Header names of one deployment, and its readiness path. Provided by the adapter of its platform.
 #[derive(Debug, Clone, Copy)]
 pub struct WireNames {
-    /// Identifies a request; the answer carries it back.
+    /// Identifies a request; echoed in the response.
     pub request_id: &'static str,
     /// Milliseconds that the sender will wait.
     pub time_left_ms: &'static str,
-    /// Instance that is meant; any other one refuses.
+    /// The instance that the request is meant for; any other one refuses it.
     pub expected_instance: &'static str,
-    /// Names the instance that refuses a request meant for another one.
+    /// The instance that refuses a request meant for another one.
     pub instance: &'static str,
-    /// Present on an instance's refusal when it did not run the request.
+    /// Present on an instance's refusal if it did not run the request.
     pub not_run: &'static str,
-    /// Requests a second that an instance takes from all callers together, in its answers.
+    /// In an instance's responses: requests per second that it accepts from all callers together.
     pub declared_rate: &'static str,
-    /// Marks the answers of an instance that is about to end.
+    /// Marks the responses of an instance that is shutting down.
     pub leaving: &'static str,
     /// Service on whose machine the request began.
     pub caller_service: &'static str,
-    /// Key by which a client shows whose it is; goes no further than the edge.
+    /// Key that identifies the client; not passed on beyond the edge.
     pub credential: &'static str,
-    /// Tenant that holds the client's key, as instances are told.
+    /// Tenant that holds the client's key, as passed to instances.
     pub tenant: &'static str,
-    /// Marks an answer as an instance's own.
+    /// Marks a response as an instance's own.
     pub signature: &'static str,
-    /// When to come back, in seconds.
+    /// Seconds after which to retry.
     pub retry_after: &'static str,
-    /// Path of the readiness question.
+    /// Path of the readiness check.
     pub readiness_path: &'static str,
 }
--- a/crates/sidecar/tests/decisions/suspension.rs
+++ b/crates/sidecar/tests/decisions/suspension.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use olivegate_sidecar::peers::freshness::{Freshness, Reading};
-use olivegate_sidecar::suspension::SuspensionWatch;
+use olivegate_sidecar::suspension::SuspensionDetector;
 use olivegate_types::Moment;
 use rstest::rstest;
 
@@ -17,11 +17,11 @@
 #[case::readings_apart(260, None)]
 #[case::suspended(30_250, Some(30_000))]
 fn a_suspension_is_seen_once(#[case] now_ms: u64, #[case] suspended_ms: Option<u64>) {
-    let mut watch = SuspensionWatch::default();
-    assert_eq!(watch.look(at(5_000), at(1_000)), None, "suspended before the start");
-    let suspended = watch.look(at(5_000 + now_ms), at(1_250));
+    let mut detector = SuspensionDetector::default();
+    assert_eq!(detector.check(at(5_000), at(1_000)), None, "suspended before the start");
+    let suspended = detector.check(at(5_000 + now_ms), at(1_250));
     assert_eq!(suspended, suspended_ms.map(Duration::from_millis));
-    assert_eq!(watch.look(at(5_250 + now_ms), at(1_500)), None);
+    assert_eq!(detector.check(at(5_250 + now_ms), at(1_500)), None);
 }
 
 /// What was read before a suspension is as old as that on waking.
