--- a/crates/sidecar/tests/decisions/directory.rs
+++ b/crates/sidecar/tests/decisions/directory.rs
@@ -1,4 +1,4 @@
-//! The directory against a source that is read in any order, with gaps and disturbances.
+//! Tests of the directory with a source whose lists and changes are read in any order, and across outages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     listed_within: Duration::from_millis(3_000),
     expires_within: Duration::from_millis(5_000),
 };
-/// Gates have time to say whether their instances live.
+/// Gates have time to attest that their instances are alive.
 const WITH_GATES: RetentionPolicy = RetentionPolicy { confirmed_within: Duration::from_millis(900), ..POLICY };
 
 fn at(millis: u64) -> Moment {
@@ -46,7 +46,7 @@
 }
 
 #[rstest]
-fn a_calm_source_is_believed_at_once() {
+fn a_healthy_source_is_followed_at_once() {
     let mut directory = Directory::new(POLICY);
     let both = [listed("a", InstanceState::Ready, 1), listed("b", InstanceState::Ready, 2)];
     assert!(directory.apply_snapshot(&both, Revision::of(2), at(0)));
@@ -56,10 +56,10 @@
     assert_eq!(directory.status(&InstanceName::new("a")), InstanceStatus::Gone);
 }
 
-/// A node that notices late that the source is back, or is the only one that it does not answer,
-/// believes nothing for longer than those that it answered.
+/// A node that notices the recovery of the source late, or is the only one that cannot reach it, must not
+/// retain entries for longer than the nodes that it answered.
 #[rstest]
-fn what_lapsed_is_held_from_the_sources_first_answer_to_any_node() {
+fn retention_after_an_outage_counts_from_the_sources_first_answer_to_any_node() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
     directory.note_source_unreachable();
@@ -68,28 +68,28 @@
     directory.note_source_answered_peer(at(11_000));
     directory.apply_snapshot(&[], Revision::of(2), at(11_100));
     directory.note_source_answered(at(11_500));
-    assert!(!directory.expire(at(11_900)), "it may still write again");
-    assert!(directory.expire(at(12_000)), "two seconds after the first answer it is gone");
+    assert!(!directory.expire(at(11_900)), "the instance may still write its entry again");
+    assert!(directory.expire(at(12_000)), "it is removed two seconds after the first answer");
 }
 
 #[rstest]
-fn what_lapsed_while_the_source_was_away_is_held_for_its_return_and_then_gone() {
+fn an_entry_missing_after_an_outage_is_retained_and_then_removed() {
     let mut directory = Directory::new(POLICY);
     let both = [listed("a", InstanceState::Ready, 1), listed("b", InstanceState::Ready, 2)];
     directory.apply_snapshot(&both, Revision::of(2), at(0));
     directory.note_source_unreachable();
-    assert!(!directory.expire(at(30_000)), "an absence ends nothing");
+    assert!(!directory.expire(at(30_000)), "nothing expires during an outage");
     directory.note_source_answered(at(31_000));
     directory.apply_snapshot(&[], Revision::of(4), at(31_000));
     assert_eq!(ready(&directory), ["a", "b"]);
     directory.apply_change(&Change::Instance(listed("b", InstanceState::Ready, 5)), at(32_000));
     assert!(!directory.expire(at(32_900)), "a may still come back");
-    assert!(directory.expire(at(33_000)), "two seconds after the return it is gone");
+    assert!(directory.expire(at(33_000)), "it is removed two seconds after the recovery");
     assert_eq!(ready(&directory), ["b"]);
 }
 
 #[rstest]
-fn what_goes_missing_later_than_the_return_is_gone_at_once() {
+fn an_entry_that_goes_missing_long_after_an_outage_is_removed_at_once() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
     directory.note_source_unreachable();
@@ -100,7 +100,7 @@
 }
 
 #[rstest]
-fn a_draining_instance_is_never_held() {
+fn a_draining_instance_is_never_retained() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Draining, 1)], Revision::of(1), at(0));
     directory.note_source_unreachable();
@@ -110,7 +110,7 @@
 }
 
 #[rstest]
-fn an_older_state_changes_nothing() {
+fn an_older_revision_changes_nothing() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Draining, 9)], Revision::of(9), at(0));
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 4)], Revision::of(4), at(1));
@@ -136,7 +136,7 @@
 }
 
 #[rstest]
-fn a_copy_brings_another_node_to_the_same_state() {
+fn a_full_update_brings_another_node_to_the_same_state() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(5), at(0));
     let mut other = Directory::new(POLICY);
@@ -146,7 +146,7 @@
 }
 
 #[rstest]
-fn a_copy_of_changes_holds_changes_only_and_leads_to_the_same_state() {
+fn an_incremental_update_has_changes_only_and_leads_to_the_same_state() {
     let mut directory = Directory::new(POLICY);
     let three = ["a", "b", "c"].map(|name| listed(name, InstanceState::Ready, 1));
     directory.apply_snapshot(&three, Revision::of(3), at(0));
@@ -165,7 +165,7 @@
 }
 
 #[rstest]
-fn a_removal_that_is_no_longer_remembered_needs_everything() {
+fn a_removal_without_a_tombstone_needs_a_full_update() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
     directory.apply_change(
@@ -179,7 +179,7 @@
 }
 
 #[rstest]
-fn held_entries_are_passed_on_as_held() {
+fn retained_entries_are_passed_on_as_retained() {
     let mut directory = Directory::new(POLICY);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
     let mut other = Directory::new(POLICY);
@@ -190,23 +190,23 @@
     other.apply_update(&directory.update_since(Revision::of(1), at(900)), at(900));
     assert_eq!(ready(&other), ["a"]);
     assert!(!directory.expire(at(2_000)) && !other.expire(at(2_000)));
-    assert!(directory.expire(at(2_100)) && other.expire(at(2_100)), "all nodes end the hold together");
+    assert!(directory.expire(at(2_100)) && other.expire(at(2_100)), "all nodes end the retention together");
     assert!(ready(&other).is_empty());
 }
 
 #[rstest]
-fn an_instance_met_on_its_machine_is_believed_until_the_source_is_back_and_lists_it() {
+fn an_observed_instance_is_used_until_the_source_has_recovered_and_should_list_it() {
     let mut directory = Directory::new(POLICY);
     directory.note_source_unreachable();
     directory.observe(instance("b", InstanceState::Ready), at(0));
-    assert!(!directory.expire(at(20_000)), "nothing can be listed meanwhile");
+    assert!(!directory.expire(at(20_000)), "nothing can be listed during the outage");
     directory.note_source_answered(at(21_000));
     assert!(!directory.expire(at(22_900)));
     assert!(directory.expire(at(23_000)));
     assert!(ready(&directory).is_empty());
 }
 
-/// A directory from which the entry of `a` has just gone.
+/// A directory from which the entry of `a` has just been removed.
 fn without_a() -> Directory {
     let mut directory = Directory::new(WITH_GATES);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
@@ -217,7 +217,7 @@
 }
 
 #[rstest]
-fn an_entry_that_goes_is_believed_until_its_gate_had_time_to_speak() {
+fn a_removed_entry_is_retained_until_its_gate_had_time_to_attest() {
     let mut directory = without_a();
     assert_eq!(ready(&directory), ["a"]);
     assert!(directory.expire(at(1_000)));
@@ -225,7 +225,7 @@
 }
 
 #[rstest]
-fn its_gate_or_an_offer_ends_that_at_once() {
+fn its_gate_or_a_failed_offer_ends_the_retention_at_once() {
     let name = InstanceName::new("a");
     let mut directory = without_a();
     assert!(directory.confirm_gone(&name, at(110)));
@@ -236,7 +236,7 @@
 }
 
 #[rstest]
-fn what_its_gate_has_seen_gone_is_not_believed_again_by_what_a_peer_still_holds() {
+fn a_confirmed_removal_is_not_undone_by_a_peer_that_retains_the_entry() {
     let name = InstanceName::new("a");
     let mut gate = without_a();
     assert!(gate.confirm_gone(&name, at(110)));
@@ -248,11 +248,11 @@
     assert_eq!(ready(&gate), ["b"]);
     let again = Change::Instance(listed("a", InstanceState::Ready, 4));
     gate.apply_change(&again, at(200));
-    assert_eq!(ready(&gate), ["a", "b"], "listed anew by the source");
+    assert_eq!(ready(&gate), ["a", "b"], "listed again by the source");
 }
 
 #[rstest]
-fn a_gate_does_not_end_the_hold_of_what_lapsed_while_the_source_was_away() {
+fn a_gate_does_not_end_the_retention_after_an_outage() {
     let mut directory = Directory::new(WITH_GATES);
     directory.apply_snapshot(&[listed("a", InstanceState::Ready, 1)], Revision::of(1), at(0));
     directory.note_source_unreachable();
@@ -263,24 +263,30 @@
 }
 
 #[rstest]
-fn an_attested_instance_is_believed_as_long_as_its_gate_says_so() {
+fn an_attested_instance_is_used_as_long_as_its_gate_attests() {
     let mut directory = without_a();
     directory.expire(at(1_000));
     assert!(directory.attest(instance("a", InstanceState::Ready), at(4_000), at(1_000)));
     assert_eq!(ready(&directory), ["a"]);
-    assert!(!directory.attest(instance("a", InstanceState::Ready), at(4_010), at(1_010)), "heard again: no news");
+    assert!(
+        !directory.attest(instance("a", InstanceState::Ready), at(4_010), at(1_010)),
+        "too small an extension to be forwarded"
+    );
     let gone = Change::InstanceRemoved { name: InstanceName::new("a"), revision: Revision::of(2) };
     directory.apply_change(&gone, at(1_100));
     directory.apply_snapshot(&[], Revision::of(3), at(1_200));
-    assert_eq!(ready(&directory), ["a"], "the gate knows better than the source");
-    assert!(directory.attest(instance("a", InstanceState::Ready), at(5_500), at(2_500)), "it says so again");
+    assert_eq!(ready(&directory), ["a"], "the attestation takes precedence over the source");
+    assert!(
+        directory.attest(instance("a", InstanceState::Ready), at(5_500), at(2_500)),
+        "the attestation is renewed"
+    );
     assert!(!directory.expire(at(5_400)));
     assert!(directory.expire(at(5_500)));
     assert!(ready(&directory).is_empty());
 }
 
 #[rstest]
-fn what_left_as_draining_is_not_attested() {
+fn an_instance_removed_while_draining_is_not_attested() {
     let mut directory = Directory::new(WITH_GATES);
     directory.apply_snapshot(&[listed("a", InstanceState::Draining, 1)], Revision::of(1), at(0));
     directory.apply_snapshot(&[], Revision::of(2), at(10));
@@ -305,22 +311,22 @@
     let mut directory = without_a();
     assert!(directory.unlisted_at(address).is_some());
     directory.expire(at(1_000));
-    assert!(directory.unlisted_at(address).is_some(), "its gate may still speak");
+    assert!(directory.unlisted_at(address).is_some(), "its gate may still attest");
     let mut directory = without_a();
     directory.remove_unlisted(&InstanceName::new("a"), at(200));
-    assert!(directory.unlisted_at(address).is_none(), "another instance answered there");
+    assert!(directory.unlisted_at(address).is_none(), "it was not found at its address");
     directory.apply_change(&Change::Instance(listed("b", InstanceState::Ready, 3)), at(300));
     assert!(directory.unlisted_at(address).is_none(), "one is listed");
 }
 
-/// A change of the source, or a way of reading it.
+/// A write to the source, or a way of reading it.
 #[derive(Debug, Clone)]
 enum Step {
     Write(u8, bool),
     Remove(u8),
     ReadAll,
     ReadChanges,
-    ForgetHistory,
+    CompactHistory,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -329,7 +335,7 @@
         2 => (0_u8..5).prop_map(Step::Remove),
         1 => Just(Step::ReadAll),
         3 => Just(Step::ReadChanges),
-        1 => Just(Step::ForgetHistory),
+        1 => Just(Step::CompactHistory),
     ];
     proptest::collection::vec(step, 0..40)
 }
@@ -353,10 +359,10 @@
 }
 
 proptest! {
-    /// In whatever order lists and changes are read, a calm source's last reading is what the
-    /// directory shows.
+    /// In whatever order lists and changes are read, the directory shows the last reading of a healthy
+    /// source.
     #[test]
-    fn the_directory_follows_a_calm_source(steps in steps()) {
+    fn the_directory_follows_a_healthy_source(steps in steps()) {
         let mut model = Model::default();
         let mut directory = Directory::new(POLICY);
         let mut time = 0;
@@ -378,8 +384,8 @@
                         model.history.push(Change::InstanceRemoved { name: old.instance.name, revision: Revision::of(model.revision) });
                     }
                 }
-                Step::ForgetHistory => {
-                    // A node that is told so reads everything.
+                Step::CompactHistory => {
+                    // A node reads everything after the history was compacted.
                     model.history.clear();
                     directory.apply_snapshot(&model.snapshot(), Revision::of(model.revision), at(time));
                 }
@@ -400,9 +406,9 @@
 }
 
 proptest! {
-    /// A node that learns from another by copies, at any moments, ends where that one is.
+    /// A node that follows another by updates, fetched at arbitrary moments, reaches the same state.
     #[test]
-    fn copies_at_any_moments_lead_to_the_same_state(steps in steps(), fetches in proptest::collection::vec(any::<bool>(), 42)) {
+    fn updates_at_any_moments_lead_to_the_same_state(steps in steps(), fetches in proptest::collection::vec(any::<bool>(), 42)) {
         let mut model = Model::default();
         let (mut reader, mut follower) = (Directory::new(POLICY), Directory::new(POLICY));
         for (index, step) in steps.into_iter().enumerate() {
@@ -441,10 +447,10 @@
 }
 
 proptest! {
-    /// The same where entries that go are held for a while: a node that fetches late, when the
-    /// hold is over elsewhere, must not keep them.
+    /// The same with retained entries: a node that fetches late, after the retention ended elsewhere, must
+    /// not keep them.
     #[test]
-    fn holds_end_alike_on_nodes_that_fetch_at_any_moments(steps in steps(), fetches in proptest::collection::vec(any::<bool>(), 42)) {
+    fn retentions_end_alike_on_nodes_that_fetch_at_any_moments(steps in steps(), fetches in proptest::collection::vec(any::<bool>(), 42)) {
         let mut model = Model::default();
         let (mut reader, mut follower) = (Directory::new(WITH_GATES), Directory::new(WITH_GATES));
         let mut now = at(0);
@@ -467,7 +473,7 @@
                         reader.apply_change(&Change::InstanceRemoved { name: old.instance.name, revision }, now);
                     }
                 }
-                Step::ReadAll | Step::ForgetHistory => {
+                Step::ReadAll | Step::CompactHistory => {
                     reader.apply_snapshot(&model.snapshot(), Revision::of(model.revision), now);
                 }
                 Step::ReadChanges => {}
--- a/crates/sidecar/tests/decisions/epochs.rs
+++ b/crates/sidecar/tests/decisions/epochs.rs
@@ -1,5 +1,5 @@
-//! The directory against a source that comes back from an older copy of itself, and instances that
-//! start again under their names.
+//! Tests of the directory with a source that is restored from a backup, and with instances that restart under
+//! their names.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     listed_within: Duration::from_millis(3_000),
     expires_within: Duration::from_millis(5_000),
 };
-/// Start of an instance, where it is told.
+/// Start time of an instance with a known incarnation.
 const FIRST: u64 = 1_700_000_000_000;
 
 fn at(millis: u64) -> Moment {
@@ -59,7 +59,7 @@
     instances.iter().map(|instance| instance.name.to_string()).collect()
 }
 
-/// Knows `a` and `b` as ready, at number 20 of the first epoch.
+/// Knows `a` and `b` as ready, at revision 20 of the first epoch.
 fn with_a_and_b() -> Directory {
     let mut directory = Directory::new(POLICY);
     let both = [ready_entry("a", revision(0, 1)), ready_entry("b", revision(0, 2))];
@@ -68,32 +68,36 @@
 }
 
 #[rstest]
-fn a_later_epoch_goes_before_a_larger_number() {
+fn a_later_epoch_takes_precedence_over_a_larger_number() {
     let mut directory = with_a_and_b();
     let both = [ready_entry("a", revision(1, 1)), leaving_entry("b", revision(1, 6))];
     assert!(directory.apply_snapshot(&both, revision(1, 6), at(100)));
     assert_eq!((ready(&directory), directory.revision()), (vec!["a".to_string()], revision(1, 6)));
     let late = [ready_entry("a", revision(0, 1)), ready_entry("b", revision(0, 2))];
-    assert!(!directory.apply_snapshot(&late, revision(0, 30), at(200)), "an answer of the epoch before");
+    assert!(!directory.apply_snapshot(&late, revision(0, 30), at(200)), "a reading of an earlier epoch");
     assert_eq!(ready(&directory), ["a"]);
 }
 
 #[rstest]
-fn who_has_said_that_it_leaves_is_not_ready_again_by_the_copy() {
+fn a_leaving_instance_is_not_ready_again_after_a_restore() {
     let mut directory = with_a_and_b();
     directory.apply_change(&Change::Instance(leaving_entry("b", revision(0, 21))), at(10));
     let both = [ready_entry("a", revision(1, 1)), ready_entry("b", revision(1, 2))];
     directory.apply_snapshot(&both, revision(1, 5), at(100));
     assert_eq!(directory.status(&name("b")), InstanceStatus::Draining);
     directory.apply_change(&Change::Instance(ready_entry("b", revision(1, 7))), at(200));
-    assert_eq!(directory.status(&name("b")), InstanceStatus::Draining, "one start never takes its leaving back");
+    assert_eq!(
+        directory.status(&name("b")),
+        InstanceStatus::Draining,
+        "an incarnation never takes its leaving back"
+    );
     let again = listed_of("b", InstanceState::Ready, FIRST + 9_000, revision(1, 8));
     directory.apply_change(&Change::Instance(again), at(300));
-    assert_eq!(directory.status(&name("b")), InstanceStatus::Ready, "it has started again");
+    assert_eq!(directory.status(&name("b")), InstanceStatus::Ready, "it has restarted");
 }
 
 #[rstest]
-fn who_left_and_went_is_not_ready_again_by_the_copy() {
+fn an_instance_removed_while_draining_is_not_ready_again_after_a_restore() {
     let mut directory = with_a_and_b();
     directory.apply_change(&Change::Instance(leaving_entry("b", revision(0, 21))), at(10));
     directory.apply_change(&Change::InstanceRemoved { name: name("b"), revision: revision(0, 22) }, at(20));
@@ -103,8 +107,9 @@
     assert_eq!(ready(&directory), ["a"]);
 }
 
-/// Its entry had gone without a word; the copy lists it, and it may be one that nobody renews.
-fn with_b_gone_and_listed_by_the_copy() -> Directory {
+/// The entry of `b` was removed without an announcement, and the restored source lists it again. Its instance
+/// may not renew it.
+fn with_b_removed_and_listed_by_the_restored_source() -> Directory {
     let mut directory = with_a_and_b();
     directory.apply_change(&Change::InstanceRemoved { name: name("b"), revision: revision(0, 21) }, at(0));
     assert!(directory.expire(at(700)));
@@ -115,43 +120,43 @@
 }
 
 #[rstest]
-fn an_entry_that_had_gone_is_used_once_it_has_stood_longer_than_a_silent_one() {
-    let mut directory = with_b_gone_and_listed_by_the_copy();
+fn a_restored_entry_is_used_once_it_has_outlived_the_expiry_time() {
+    let mut directory = with_b_removed_and_listed_by_the_restored_source();
     assert!(!directory.expire(at(5_900)));
     assert!(directory.expire(at(6_000)));
     assert_eq!(ready(&directory), ["a", "b"]);
 }
 
 #[rstest]
-fn an_entry_that_had_gone_is_used_once_it_is_written_again() {
-    let mut directory = with_b_gone_and_listed_by_the_copy();
+fn a_restored_entry_is_used_once_it_is_written_again() {
+    let mut directory = with_b_removed_and_listed_by_the_restored_source();
     assert!(directory.apply_change(&Change::Instance(ready_entry("b", revision(1, 6))), at(1_200)));
     assert_eq!(ready(&directory), ["a", "b"]);
 }
 
 #[rstest]
-fn an_entry_that_had_gone_goes_again_unused() {
-    let mut directory = with_b_gone_and_listed_by_the_copy();
+fn a_restored_entry_that_expires_is_never_used() {
+    let mut directory = with_b_removed_and_listed_by_the_restored_source();
     directory.apply_change(&Change::InstanceRemoved { name: name("b"), revision: revision(1, 6) }, at(3_000));
     assert!(!directory.expire(at(9_000)));
     assert_eq!(ready(&directory), ["a"]);
 }
 
 #[rstest]
-fn what_the_copy_lacks_is_held_to_be_written_again() {
+fn entries_missing_after_a_restore_are_retained_until_they_are_written_again() {
     let mut directory = with_a_and_b();
     directory.apply_snapshot(&[ready_entry("a", revision(1, 1))], revision(1, 1), at(100));
     assert_eq!(ready(&directory), ["a", "b"]);
     assert!(directory.may_lack_writes(at(2_000)));
     assert!(!directory.expire(at(2_000)));
-    assert!(directory.expire(at(2_100)), "written by now, or gone");
+    assert!(directory.expire(at(2_100)), "not written again in time");
     assert_eq!(ready(&directory), ["a"]);
     assert!(!directory.may_lack_writes(at(2_100)));
 }
 
-/// A reader that never heard of an instance does not make others forget it, nor of its leaving.
+/// A reader that never knew an instance, or that it is leaving, must not make others forget it.
 #[rstest]
-fn a_copy_of_a_later_epoch_adds_to_what_a_node_knows_alone() {
+fn an_update_of_a_later_epoch_keeps_what_only_this_node_knows() {
     let mut reader = with_a_and_b();
     let mut other = Directory::new(POLICY);
     other.apply_update(&reader.update_since(Revision::default(), at(0)), at(0));
@@ -160,9 +165,9 @@
     other.advance(revision(0, 22));
     let both = [ready_entry("a", revision(1, 1)), ready_entry("b", revision(1, 2))];
     reader.apply_snapshot(&both, revision(1, 3), at(100));
-    let copy = reader.update_since(other.revision(), at(100));
-    assert_eq!(copy.base, None, "nothing of an earlier epoch is a base");
-    assert!(other.apply_update(&copy, at(100)));
+    let update = reader.update_since(other.revision(), at(100));
+    assert_eq!(update.base, None, "an update cannot build on a revision of an earlier epoch");
+    assert!(other.apply_update(&update, at(100)));
     assert_eq!((ready(&other), other.revision()), (vec!["a".to_string(), "c".to_string()], revision(1, 3)));
     assert_eq!(other.status(&name("b")), InstanceStatus::Draining);
     assert!(other.expire(at(2_100)), "c was not written again");
@@ -170,9 +175,9 @@
 }
 
 #[rstest]
-fn a_copy_of_a_later_epoch_tells_what_has_gone_and_what_is_doubted() {
+fn an_update_of_a_later_epoch_contains_removed_and_unverified_entries() {
     let mut other = with_a_and_b();
-    let reader = with_b_gone_and_listed_by_the_copy();
+    let reader = with_b_removed_and_listed_by_the_restored_source();
     other.apply_update(&reader.update_since(other.revision(), at(1_000)), at(1_000));
     assert_eq!(ready(&other), ["a"]);
     assert!(!other.expire(at(5_900)));
@@ -181,7 +186,7 @@
 }
 
 #[rstest]
-fn an_entry_of_an_earlier_start_is_passed_over() {
+fn an_entry_of_an_earlier_incarnation_is_ignored() {
     let mut directory = with_a_and_b();
     let again = listed_of("a", InstanceState::Ready, FIRST + 5_000, revision(0, 21));
     directory.apply_change(&Change::Instance(again), at(10));
@@ -193,7 +198,7 @@
 }
 
 #[rstest]
-fn one_that_left_and_started_again_under_its_name_is_attested() {
+fn an_instance_that_left_and_restarted_under_its_name_is_attested() {
     let mut directory = with_a_and_b();
     directory.apply_change(&Change::Instance(leaving_entry("a", revision(0, 21))), at(10));
     directory.apply_change(&Change::InstanceRemoved { name: name("a"), revision: revision(0, 22) }, at(20));
@@ -203,18 +208,18 @@
     assert!(directory.attest(again, at(3_000), at(30)));
 }
 
-/// What the source and its instances do.
+/// An event at the source or at an instance.
 #[derive(Debug, Clone)]
 enum Step {
-    /// An instance appears, or writes its entry again.
+    /// An instance appears, or renews its entry.
     Write(u8),
-    /// It says that it leaves.
+    /// It starts draining.
     Leave(u8),
-    /// Its entry goes.
+    /// Its entry is removed.
     Remove(u8),
-    /// A copy is taken.
-    Copy,
-    /// The source comes back from it.
+    /// The source is backed up.
+    Backup,
+    /// The source is restored from the backup.
     Restore,
     /// The reader reads everything.
     Read,
@@ -227,7 +232,7 @@
         3 => (0_u8..4).prop_map(Step::Write),
         2 => (0_u8..4).prop_map(Step::Leave),
         1 => (0_u8..4).prop_map(Step::Remove),
-        2 => Just(Step::Copy),
+        2 => Just(Step::Backup),
         2 => Just(Step::Restore),
         4 => Just(Step::Read),
         4 => Just(Step::Fetch),
@@ -235,14 +240,14 @@
     proptest::collection::vec(step, 0..60)
 }
 
-/// The source with its copy, and what each instance really does.
+/// The source with its backup, and the actual state of each instance.
 #[derive(Default)]
 struct Model {
     epoch: u64,
     number: u64,
     entries: BTreeMap<u8, (InstanceState, u64)>,
-    copy: (u64, BTreeMap<u8, (InstanceState, u64)>),
-    /// Who lives, and whether it leaves.
+    backup: (u64, BTreeMap<u8, (InstanceState, u64)>),
+    /// The live instances, and whether they are draining.
     alive: BTreeMap<u8, InstanceState>,
 }
 
@@ -267,10 +272,11 @@
 }
 
 proptest! {
-    /// However often the source comes back from copies: a node never takes for ready who it knew to
-    /// be leaving, and when all have written again and time has passed, all nodes know who lives.
+    /// However often the source is restored, a node never treats an instance as ready that it knew to be
+    /// draining. Once all live instances have renewed their entries and the others have expired, all nodes
+    /// agree on the live ones.
     #[test]
-    fn nodes_agree_with_the_living_after_any_restores(steps in steps()) {
+    fn nodes_agree_on_the_live_instances_after_any_restores(steps in steps()) {
         let mut model = Model::default();
         let (mut reader, mut follower) = (Directory::new(POLICY), Directory::new(POLICY));
         let mut now = at(0);
@@ -286,7 +292,7 @@
                         model.write(who);
                     }
                 }
-                // One that has left does not come back under its name and start.
+                // An instance that is draining does not come back under its name and incarnation.
                 Step::Remove(who) => {
                     if model.alive.get(&who) == Some(&InstanceState::Ready) {
                         model.alive.remove(&who);
@@ -294,10 +300,10 @@
                         model.entries.remove(&who);
                     }
                 }
-                Step::Copy => model.copy = (model.number, model.entries.clone()),
+                Step::Backup => model.backup = (model.number, model.entries.clone()),
                 Step::Restore => {
                     model.epoch += 1;
-                    (model.number, model.entries) = model.copy.clone();
+                    (model.number, model.entries) = model.backup.clone();
                 }
                 Step::Read => {
                     reader.apply_snapshot(&model.listed(), revision(model.epoch, model.number), now);
@@ -313,7 +319,7 @@
                 }
             }
         }
-        // Who lives writes again; what nobody renews lapses.
+        // Live instances renew their entries; all others expire.
         let living: Vec<u8> = model.alive.keys().copied().collect();
         model.entries.retain(|who, _| living.contains(who));
         model.number += 1;
--- a/crates/sidecar/tests/decisions/events.rs
+++ b/crates/sidecar/tests/decisions/events.rs
@@ -1,4 +1,4 @@
-//! Bounds on log lines about requests.
+//! Tests of the limits on log lines about requests.
 
 use olivegate_sidecar::event::{LogBudgets, LogClass, is_sampled};
 use olivegate_types::Moment;
@@ -7,7 +7,7 @@
 #[rstest]
 #[case(LogClass::Refusal)]
 #[case(LogClass::Failure)]
-fn a_surge_is_bounded_by_the_second(#[case] class: LogClass) {
+fn a_surge_is_limited_per_second(#[case] class: LogClass) {
     let budgets = LogBudgets::default();
     let lines_of = |second: u64| {
         let taken = (0..10_000_u64).filter(|number| {
--- a/crates/sidecar/tests/decisions/main.rs
+++ b/crates/sidecar/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Decisions without I/O, by example and against simple oracles.
+//! Tests of decisions without I/O, by example and against simple models.
 
 mod attempts;
 mod declared;
--- a/crates/sidecar/tests/decisions/metrics.rs
+++ b/crates/sidecar/tests/decisions/metrics.rs
@@ -1,4 +1,4 @@
-//! Label sets stay bounded.
+//! Tests that the number of label values is bounded.
 
 use olivegate_sidecar::metrics::Metrics;
 use olivegate_types::TenantName;
--- a/crates/sidecar/tests/decisions/relay.rs
+++ b/crates/sidecar/tests/decisions/relay.rs
@@ -1,4 +1,4 @@
-//! The tree by which a reading reaches a zone.
+//! Tests of the dissemination tree of a zone.
 
 use std::collections::HashSet;
 use std::net::{IpAddr, Ipv4Addr};
@@ -24,14 +24,14 @@
         taken += 1;
         let mut next = Vec::new();
         for machine in newest {
-            let told = children(&order, rank_of(&order, machine));
-            assert!(told.len() <= CHILDREN);
-            for child in told {
-                assert!(reached.insert(*child), "told twice");
+            let children = children(&order, rank_of(&order, machine));
+            assert!(children.len() <= CHILDREN);
+            for child in children {
+                assert!(reached.insert(*child), "reached twice");
                 next.push(*child);
             }
         }
-        assert!(!next.is_empty(), "some are never told");
+        assert!(!next.is_empty(), "some are never reached");
         newest = next;
     }
     assert_eq!(taken, steps);
--- a/crates/sidecar/tests/decisions/settings.rs
+++ b/crates/sidecar/tests/decisions/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is read, and that every mistake is named.
+//! Tests that settings are read and that errors name their field.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 "#;
 
 #[rstest]
-fn whole_settings_are_read() {
+fn valid_settings_are_read() {
     let settings = SidecarSettings::from_toml(SETTINGS).unwrap();
     assert_eq!(settings.node.as_str(), "sidecar-1");
     assert_eq!(settings.listen.peers.to_string(), "10.1.0.8:7620");
@@ -37,7 +37,7 @@
 }
 
 #[rstest]
-fn bounds_of_memory_and_descriptors_follow_the_machine() {
+fn limits_on_memory_and_descriptors_follow_the_machine() {
     let of = |text: &str| SidecarSettings::from_toml(&SETTINGS.replace("memory_mb = 260", text)).unwrap().machine;
     let small = of("memory_mb = 64\nmax_descriptors = 512");
     let large = of("memory_mb = 260\nmax_descriptors = 4100");
@@ -61,7 +61,7 @@
 )]
 #[case::memory("[machine]", "[quarantine]\nmemory_s = 0\n[machine]", "field=quarantine.memory_s")]
 #[case::port("peers_port = 7620", "peers_port = 0", "field=listen.peers_port")]
-fn a_mistake_is_named(#[case] right: &str, #[case] wrong: &str, #[case] named: &str) {
-    let mistakes = SidecarSettings::from_toml(&SETTINGS.replace(right, wrong)).unwrap_err().to_string();
-    assert!(mistakes.contains(named), "{mistakes}");
+fn an_error_names_its_field(#[case] right: &str, #[case] wrong: &str, #[case] named: &str) {
+    let errors = SidecarSettings::from_toml(&SETTINGS.replace(right, wrong)).unwrap_err().to_string();
+    assert!(errors.contains(named), "{errors}");
 }
--- a/crates/sidecar/tests/decisions/suspects.rs
+++ b/crates/sidecar/tests/decisions/suspects.rs
@@ -1,4 +1,4 @@
-//! What gates tell each other of suspects fits into datagrams.
+//! Tests that the quarantine reports between gates fit into datagrams.
 
 use olivegate_quarantine::{Age, ContentDigest, ReportedEnd, SuspectReport, SuspectedContent};
 use olivegate_sidecar::gate_protocol;
--- a/crates/sidecar/tests/decisions/suspension.rs
+++ b/crates/sidecar/tests/decisions/suspension.rs
@@ -1,4 +1,4 @@
-//! Suspensions are seen by two clocks, of which one counts them.
+//! Tests of detecting a suspension by two clocks, one of which counts it.
 
 use std::net::IpAddr;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 #[case::awake(250, None)]
 #[case::readings_apart(260, None)]
 #[case::suspended(30_250, Some(30_000))]
-fn a_suspension_is_seen_once(#[case] now_ms: u64, #[case] suspended_ms: Option<u64>) {
+fn a_suspension_is_detected_once(#[case] now_ms: u64, #[case] suspended_ms: Option<u64>) {
     let mut detector = SuspensionDetector::default();
-    assert_eq!(detector.check(at(5_000), at(1_000)), None, "suspended before the start");
+    assert_eq!(detector.check(at(5_000), at(1_000)), None, "a suspension before the first call does not count");
     let suspended = detector.check(at(5_000 + now_ms), at(1_250));
     assert_eq!(suspended, suspended_ms.map(Duration::from_millis));
     assert_eq!(detector.check(at(5_250 + now_ms), at(1_500)), None);
 }
 
-/// What was read before a suspension is as old as that on waking.
+/// A reading from before a suspension has aged by its length on resume.
 #[rstest]
 fn a_reading_ages_while_the_machine_is_suspended() {
     let own: IpAddr = "10.0.0.2".parse().unwrap();
@@ -35,9 +35,9 @@
     assert!(freshness.should_read(0, now) && !freshness.should_read(0, awake));
 }
 
-/// The process's own clock counts on while the machine is suspended; it is never behind the other.
+/// The process clock advances while the machine is suspended, and is never behind the monotonic clock.
 #[rstest]
-fn the_clock_of_ages_counts_suspensions() {
+fn the_clock_used_for_ages_counts_suspensions() {
     let awake = olivegate_clock::monotonic_now();
     let now = olivegate_clock::now();
     assert!(now >= awake);
