--- a/crates/sidecar/src/directory/local_evidence.rs
+++ b/crates/sidecar/src/directory/local_evidence.rs
@@ -129,11 +129,11 @@
             self.insert_retained(instance, retention, now);
             return true;
         };
-        let is_news = entry.retention.is_some_and(|known| until.since(known.until) >= MIN_EXTENSION);
-        if is_news {
+        let is_extended = entry.retention.is_some_and(|known| until.since(known.until) >= MIN_EXTENSION);
+        if is_extended {
             entry.retention = Some(retention);
         }
-        is_news
+        is_extended
     }
 
     /// Returns true if the gate of an instance attests that it is alive, which overrides the removal of its
--- a/crates/sidecar/src/directory/peer_update.rs
+++ b/crates/sidecar/src/directory/peer_update.rs
@@ -111,8 +111,8 @@
     pub fn update_since(&self, known: Revision, now: Moment) -> DirectoryUpdate {
         let is_full = known < self.tombstones_since || known == Revision::default();
         let base = if is_full { None } else { Some(known) };
-        let is_news = |entry: &&Entry| is_full || entry.revision > known || entry.retention.is_some();
-        let entries = self.entries.values().filter(is_news).map(|entry| DirectoryEntry {
+        let is_included = |entry: &&Entry| is_full || entry.revision > known || entry.retention.is_some();
+        let entries = self.entries.values().filter(is_included).map(|entry| DirectoryEntry {
             instance: Instance::clone(&entry.instance),
             revision: entry.revision,
             retention: entry.retention.map(|retention| retention.to_wire(now)),
--- a/crates/sidecar/src/directory/prior.rs
+++ b/crates/sidecar/src/directory/prior.rs
@@ -40,17 +40,17 @@
 
     /// Decides how `listed` is applied.
     pub fn disposition_of(self, listed: &ListedInstance) -> Disposition {
-        let (known, told) = (self.instance.incarnation, listed.instance.incarnation);
-        if told.is_before(known) {
+        let (known, reported) = (self.instance.incarnation, listed.instance.incarnation);
+        if reported.is_before(known) {
             return Disposition::Outdated;
         }
-        if told.differs_from(known) {
+        if reported.differs_from(known) {
             return Disposition::AsListed;
         }
         let is_restored = listed.revision.epoch > self.epoch;
-        let is_same_start = told == known && told.is_known();
+        let is_same_incarnation = reported == known && reported.is_known();
         let was_leaving = self.instance.state == InstanceState::Draining;
-        if was_leaving && (is_restored || is_same_start) {
+        if was_leaving && (is_restored || is_same_incarnation) {
             return Disposition::StillLeaving;
         }
         if self.was_removed && is_restored { Disposition::Unverified } else { Disposition::AsListed }
--- a/crates/sidecar/src/follow/mod.rs
+++ b/crates/sidecar/src/follow/mod.rs
@@ -1,8 +1,8 @@
 //! Reads the source: the initial state at the start, then changes as they occur.
 //!
-//! Every call loads the source, and most nodes need none because they learn from peers. A node that has just
-//! started reads once, by the cheapest call that the source offers (`start`). After that, the readers of each
-//! zone wait for changes (`watch`).
+//! Every call puts load on the source, and most nodes need none because they learn from peers. A node that
+//! has just started reads once, by the cheapest call that the source offers (`start`). After that, the
+//! readers of each zone wait for changes (`watch`).
 //!
 //! A single failed call says nothing, because a waiting call may be cut off at any time. Two failures in a
 //! row, or one timeout, mean that the source is unreachable.
@@ -230,7 +230,9 @@
     node.update_directory("source", |directory| {
         let known = directory.revision();
         let mut changed = false;
-        for change in changes.changes.iter().filter(|change| change.revision().is_none_or(|news| news > known)) {
+        for change in
+            changes.changes.iter().filter(|change| change.revision().is_none_or(|changed| changed > known))
+        {
             changed |= directory.apply_change(change, now);
         }
         directory.advance(revision);
--- a/crates/sidecar/src/follow/watch.rs
+++ b/crates/sidecar/src/follow/watch.rs
@@ -1,10 +1,10 @@
 //! Long polls for changes, on the nodes that read.
 //!
-//! Each call loads the source. A change that a waiting call does not report is found by the next call or, if
-//! the call keeps waiting, by checks of the source's latest revision in the meantime. A call may wait without
-//! reporting changes because its connection has silently failed, or because the source compacted its history
-//! or was restored from a backup. A check that finds nothing newer than the known revision proves that
-//! nothing was missed up to then, and counts as a reading that other nodes rely on. So does the end of a
+//! Each call puts load on the source. A change that a waiting call does not report is found by the next call
+//! or, if the call keeps waiting, by checks of the source's latest revision in the meantime. A call may wait
+//! without reporting changes because its connection has silently failed, or because the source compacted its
+//! history or was restored from a backup. A check that finds nothing newer than the known revision proves
+//! that nothing was missed up to then, and counts as a reading that other nodes rely on. So does the end of a
 //! call, which proves less, since a call that misses changes ends in the same way.
 //!
 //! A change missed by a call on a failed connection is known after a check interval, three calls and the
--- a/crates/sidecar/src/peers/access.rs
+++ b/crates/sidecar/src/peers/access.rs
@@ -88,8 +88,8 @@
     /// Returns the first machine of `order` that is not skipped, and whether it differs from the one before.
     fn select(&self, order: &[IpAddr], now: Moment) -> (Option<IpAddr>, bool) {
         let mut state = self.0.borrow_mut();
-        if let Some(silent) = state.collector.filter(|_| now.since(state.last_answer) > COLLECTOR_TIMEOUT) {
-            state.skipped.insert(silent, now);
+        if let Some(unresponsive) = state.collector.filter(|_| now.since(state.last_answer) > COLLECTOR_TIMEOUT) {
+            state.skipped.insert(unresponsive, now);
         }
         state.skipped.retain(|_, since| now.since(*since) <= SKIP_DURATION);
         let chosen = order.iter().find(|machine| !state.skipped.contains_key(machine)).or(order.first()).copied();
--- a/crates/sidecar/src/peers/suspects.rs
+++ b/crates/sidecar/src/peers/suspects.rs
@@ -33,13 +33,13 @@
 /// Maximum size of the reports in a datagram in bytes. The rest of the message stays below the 512 bytes left
 /// of [`MAX_DATAGRAM`].
 const MAX_REPORT_BYTES: usize = MAX_DATAGRAM - 512;
-/// Maximum number of contents in one repeat.
+/// Maximum number of request contents in one repeat.
 const MAX_REPEATED_CONTENTS: usize = 24;
-/// Interval of repeats. A gate that was partitioned hears of held contents from one of ten others within
-/// about 100 ms.
+/// Interval of repeats. A gate that was partitioned hears of the contents that are held back from one of ten
+/// others within about 100 ms.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// One in this many repeats covers everything that is remembered, not only what is held. Most of that is
-/// requests that were in an instance together with the one that ended it, about 100 bytes each.
+/// One in this many repeats covers everything that is remembered, not only what is held back. Most of that
+/// is requests that were in an instance together with the one that ended it, about 100 bytes each.
 const FULL_REPEAT_EVERY: u32 = 5;
 /// Number of gates that a starting node requests reports from, and number of attempts.
 const SYNC_FAN_OUT: usize = 4;
@@ -71,7 +71,7 @@
     Notify,
     /// To request the other gate's reports after a start.
     Request,
-    /// In response to a request; the last message of it.
+    /// The last message in response to a request.
     Response {
         /// Whether the sender had itself received the reports of its peers.
         has_synced: bool,
