--- a/crates/bench/src/soak/strike.rs
+++ b/crates/bench/src/soak/strike.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use olivegate_platform_stand_in::Mood;
+use olivegate_platform_stand_in::FaultMode;
 use olivegate_sidecar::model::InstanceState;
 use rand::RngExt;
 use rand::seq::{IndexedRandom, IteratorRandom};
@@ -106,9 +106,9 @@
         }
         FaultKind::Store(kind) => store_fault(world, kind, length).await,
         FaultKind::StoreOfMachine(kind) => {
-            world.machines[machine].store.set_mood(mood_of(kind));
+            world.machines[machine].store.set_fault_mode(mood_of(kind));
             tokio::time::sleep(length).await;
-            world.machines[machine].store.set_mood(Mood::Well);
+            world.machines[machine].store.set_fault_mode(FaultMode::Healthy);
         }
         FaultKind::Instance(kind) => {
             world.faults.set(machine, Some(kind));
@@ -125,10 +125,10 @@
             world.load.set(1.0);
         }
         FaultKind::StoreDeaf => {
-            world.store.set_deaf(true);
+            world.store.suppress_watch_events(true);
             tokio::time::sleep(length).await;
             world.store.compact();
-            world.store.set_deaf(false);
+            world.store.suppress_watch_events(false);
         }
         FaultKind::StoreRestored { copy_age_ms } => {
             store_restored(world, Duration::from_millis(u64::from(copy_age_ms)), length).await;
@@ -197,13 +197,13 @@
     }
 }
 
-fn mood_of(kind: StoreFault) -> Mood {
+fn mood_of(kind: StoreFault) -> FaultMode {
     match kind {
-        StoreFault::Busy => Mood::Refusing(503),
-        StoreFault::Throttling => Mood::Refusing(429),
-        StoreFault::Silent | StoreFault::Lapsed => Mood::Silent,
-        StoreFault::Resetting => Mood::Resetting,
-        StoreFault::Compacted => Mood::Well,
+        StoreFault::Busy => FaultMode::Refusing(503),
+        StoreFault::Throttling => FaultMode::Refusing(429),
+        StoreFault::Silent | StoreFault::Lapsed => FaultMode::Silent,
+        StoreFault::Resetting => FaultMode::Resetting,
+        StoreFault::Compacted => FaultMode::Healthy,
     }
 }
 
@@ -212,25 +212,25 @@
         world.store.compact();
         return;
     }
-    world.store.set_mood(mood_of(kind));
+    world.store.set_fault_mode(mood_of(kind));
     if kind == StoreFault::Lapsed {
         tokio::time::sleep(length / 2).await;
         let names: Vec<String> =
             world.instances.borrow().iter().flatten().map(|instance| instance.name.clone()).collect();
         names.iter().for_each(|name| world.remove_entry(name));
         tokio::time::sleep(length / 2).await;
-        world.store.set_mood(Mood::Well);
+        world.store.set_fault_mode(FaultMode::Healthy);
         (0..world.machines.len()).for_each(|machine| world.write_entry(machine, InstanceState::Ready));
         return;
     }
     tokio::time::sleep(length).await;
-    world.store.set_mood(Mood::Well);
+    world.store.set_fault_mode(FaultMode::Healthy);
 }
 
 /// The store goes away and comes back from a copy that was taken `copy_age` before. What was written
 /// since is written again: by the operator soon, by instances with their next heartbeats.
 async fn store_restored(world: &Rc<World>, copy_age: Duration, length: Duration) {
-    let copy = world.store.copy();
+    let backup = world.store.backup();
     let pause = copy_age.min(length) / LOST_VERSIONS;
     for _ in 0..LOST_VERSIONS {
         tokio::time::sleep(pause).await;
@@ -238,10 +238,10 @@
     }
     let from_s = world.now_s();
     let is_silent = world.random(|random| random.random_bool(0.5));
-    world.store.set_mood(if is_silent { Mood::Silent } else { Mood::Resetting });
+    world.store.set_fault_mode(if is_silent { FaultMode::Silent } else { FaultMode::Resetting });
     tokio::time::sleep(length.saturating_sub(copy_age)).await;
-    world.store.restore(copy);
-    world.store.set_mood(Mood::Well);
+    world.store.restore(backup);
+    world.store.set_fault_mode(FaultMode::Healthy);
     let until_s = world.now_s();
     world.record.borrow_mut().disturbances.push(Disturbance { machine: None, from_s, until_s });
     let silent = world.clone();
--- a/crates/bench/src/soak/world.rs
+++ b/crates/bench/src/soak/world.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use olivegate_platform_stand_in::{Door, StandIn};
+use olivegate_platform_stand_in::{Endpoint, InMemoryStore};
 use olivegate_sidecar::model::{Configuration, Incarnation, InstanceState};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -61,7 +61,7 @@
     /// Readiness.
     pub readiness: SocketAddr,
     /// Its way to the store.
-    pub store: Door,
+    pub store: Endpoint,
     /// The way to it.
     pub way: Rc<Way>,
 }
@@ -82,7 +82,7 @@
     /// Machines.
     pub machines: Vec<Machine>,
     /// The store.
-    pub store: StandIn,
+    pub store: InMemoryStore,
     /// Processes.
     pub processes: Processes,
     /// What was seen.
@@ -117,7 +117,7 @@
 impl World {
     /// Machines for all instances of a deployment; nothing runs yet.
     pub async fn new(spec: DeploymentSpec, seed: u64, directory: &Path) -> Result<Rc<Self>, BenchError> {
-        let store = StandIn::new(PAGE);
+        let store = InMemoryStore::new(PAGE);
         let net = (std::process::id() % 250) as u8 + 1;
         let mut machines = Vec::new();
         for service in &spec.services {
@@ -137,7 +137,7 @@
                     peers_own: SocketAddr::new(own, PEERS_PORT),
                     instance: SocketAddr::new(public, INSTANCE_PORT),
                     readiness: SocketAddr::new(public, READINESS_PORT),
-                    store: store.open().await.map_err(|error| BenchError::Process(error.to_string()))?,
+                    store: store.listen().await.map_err(|error| BenchError::Process(error.to_string()))?,
                     way: Rc::default(),
                 });
             }
--- a/crates/http1/src/decode.rs
+++ b/crates/http1/src/decode.rs
@@ -253,7 +253,7 @@
     }
 
     /// Says whether the next response answers a `HEAD` request.
-    pub fn expect_answer_to_head(&mut self, to_head: bool) {
+    pub fn expect_response_to_head(&mut self, to_head: bool) {
         self.answers_head = to_head;
     }
 
--- a/crates/olivegate/tests/sidecar.rs
+++ b/crates/olivegate/tests/sidecar.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use olivegate_platform_stand_in::{StandIn, records};
+use olivegate_platform_stand_in::{InMemoryStore, records};
 use olivegate_sidecar::model::{
     ClientLimits, Configuration, ConfigurationVersion, Incarnation, Instance, InstanceState, Millis, RetrySafety,
     Route, WeightedService,
@@ -40,7 +40,7 @@
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         LocalSet::new().block_on(&runtime, async move {
-            let store = StandIn::new(10);
+            let store = InMemoryStore::new(10);
             let route = Route {
                 name: "all".into(),
                 host: "shop".into(),
@@ -64,7 +64,7 @@
             };
             records::put_configuration(&store, &configuration);
             records::put_instance(&store, &instance, 1);
-            sender.send(store.open().await.unwrap().address).unwrap();
+            sender.send(store.listen().await.unwrap().address).unwrap();
             std::future::pending::<()>().await;
         });
     });
--- a/crates/sidecar/src/gate/exchange.rs
+++ b/crates/sidecar/src/gate/exchange.rs
@@ -130,7 +130,7 @@
     body: Body,
 ) -> Result<MatchedHead, Failure> {
     let answers = &mut connection.answers;
-    answers.decoder_mut().expect_answer_to_head(head.method == "HEAD");
+    answers.decoder_mut().expect_response_to_head(head.method == "HEAD");
     let mut sent_bytes = 0;
     let mut sent = None;
     let result = {
