--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -9,9 +9,9 @@
 use crate::model::{Bundle, Group, Kind, Limits, Objective, Service};
 
 /// Longest deadline that a bundle may allow, in milliseconds.
-pub const LONGEST_DEADLINE_MS: u64 = 60_000;
+pub const MAX_DEADLINE_MS: u64 = 60_000;
 /// Most retries that a bundle may allow for one root request.
-pub const MOST_RETRIES: u64 = 20;
+pub const MAX_RETRIES: u64 = 20;
 
 /// Reads and checks the TOML form.
 pub fn bundle_from_toml(text: &str) -> Result<Bundle, FieldErrors> {
@@ -52,9 +52,9 @@
     let rules = [
         ("version", bundle.version >= 1),
         ("objective", (1..=10_000).contains(&bundle.objective.max_queue_wait_ms)),
-        ("limits", u64::from(limits.retries_per_request) <= MOST_RETRIES),
+        ("limits", u64::from(limits.retries_per_request) <= MAX_RETRIES),
         ("limits", (1..=32).contains(&limits.max_hops)),
-        ("limits", (1..=LONGEST_DEADLINE_MS).contains(&u64::from(limits.max_deadline_ms))),
+        ("limits", (1..=MAX_DEADLINE_MS).contains(&u64::from(limits.max_deadline_ms))),
         ("groups", bundle.groups.iter().all(|group| group.weight >= 1)),
         ("services", bundle.services.iter().all(|service| service.slots >= 1 && service.connections >= 1)),
         ("kinds", bundle.kinds.iter().all(is_kind_in_range)),
@@ -95,9 +95,9 @@
 
 fn read_limits(reader: &mut TableReader) -> Limits {
     Limits {
-        retries_per_request: reader.integer_or("retries_per_request", 3, 0..=MOST_RETRIES) as u8,
+        retries_per_request: reader.integer_or("retries_per_request", 3, 0..=MAX_RETRIES) as u8,
         max_hops: reader.integer_or("max_hops", 12, 1..=32) as u8,
-        max_deadline_ms: reader.integer_or("max_deadline_ms", 5_000, 1..=LONGEST_DEADLINE_MS) as u32,
+        max_deadline_ms: reader.integer_or("max_deadline_ms", 5_000, 1..=MAX_DEADLINE_MS) as u32,
         claim_memory_ms: reader.integer_or("claim_memory_ms", 30_000, 1_000..=600_000) as u32,
         max_request_body_bytes: reader.integer_or("max_request_body_bytes", 1 << 20, 0..=1 << 30) as u32,
     }
@@ -127,8 +127,8 @@
         path_prefix: reader.text("path_prefix"),
         importance: Importance(reader.integer("importance", 0..=u64::from(Importance::PROTECTED.0)) as u8),
         repeat_safe: reader.boolean_or("repeat_safe", false),
-        deadline_ms: reader.integer_or("deadline_ms", 1_000, 1..=LONGEST_DEADLINE_MS) as u32,
-        expected_ms: reader.integer_or("expected_ms", 20, 1..=LONGEST_DEADLINE_MS) as u32,
+        deadline_ms: reader.integer_or("deadline_ms", 1_000, 1..=MAX_DEADLINE_MS) as u32,
+        expected_ms: reader.integer_or("expected_ms", 20, 1..=MAX_DEADLINE_MS) as u32,
     };
     if !is_path_prefix(&kind.path_prefix) {
         reader.add_error("path_prefix", "a path prefix is '/' followed by at least one whole segment");
--- a/crates/bundle/src/delta.rs
+++ b/crates/bundle/src/delta.rs
@@ -145,7 +145,7 @@
     /// result has the named digest.
     pub fn apply(&self, parent: &Bundle, parent_stamp: Stamp) -> Result<SignedBundle, BundleError> {
         if parent_stamp.digest != self.parent {
-            return Err(BundleError::ParentNotHeld { version: self.result.version });
+            return Err(BundleError::ParentNotInForce { version: self.result.version });
         }
         let mut bundle = parent.clone();
         bundle.version = self.result.version;
--- a/crates/bundle/src/error.rs
+++ b/crates/bundle/src/error.rs
@@ -29,14 +29,14 @@
         found: String,
     },
     /// A delta whose parent is not the bundle in force.
-    ParentNotHeld {
+    ParentNotInForce {
         /// Version that the delta leads to.
         version: u64,
     },
     /// A delta that does not lead to the digest it names.
     DigestMismatch,
     /// Older than the version in force or than the floor.
-    Older {
+    OlderThanFloor {
         /// The version offered.
         offered: Stamp,
         /// The version that must not be left.
@@ -45,7 +45,7 @@
     /// The content breaks a rule of [`crate::check`].
     Invalid(String),
     /// A signing key file is not 32 bytes of hexadecimal text.
-    BadKey,
+    InvalidKey,
 }
 
 impl fmt::Display for BundleError {
@@ -57,13 +57,13 @@
                 write!(formatter, "{valid} valid sign-off signatures, {required} required")
             }
             BundleError::WrongDeployment { found } => write!(formatter, "made for deployment {found}"),
-            BundleError::ParentNotHeld { version } => {
+            BundleError::ParentNotInForce { version } => {
                 write!(formatter, "parent of version {version} is not in force here")
             }
             BundleError::DigestMismatch => formatter.write_str("delta does not lead to its digest"),
-            BundleError::Older { offered, floor } => write!(formatter, "{offered} is older than {floor}"),
+            BundleError::OlderThanFloor { offered, floor } => write!(formatter, "{offered} is older than {floor}"),
             BundleError::Invalid(reason) => write!(formatter, "invalid content: {reason}"),
-            BundleError::BadKey => formatter.write_str("a signing key is 64 hexadecimal digits"),
+            BundleError::InvalidKey => formatter.write_str("a signing key is 64 hexadecimal digits"),
         }
     }
 }
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`sign`]: signatures, key sets and the m-of-n sign-off.
 //! - [`delta`]: differences between versions, sent instead of whole bundles.
 //! - [`index`]: look-up tables for classification.
-//! - [`spread`]: how versions spread between nodes.
+//! - [`propagation`]: how versions spread between nodes.
 //! - [`store`]: which version is in force; never goes back.
 
 pub mod check;
@@ -13,8 +13,8 @@
 pub mod error;
 pub mod index;
 pub mod model;
+pub mod propagation;
 pub mod sign;
-pub mod spread;
 pub mod store;
 
 pub use delta::{BundleDelta, Change};
@@ -22,4 +22,4 @@
 pub use index::IndexedBundle;
 pub use model::{Bundle, Group, Kind, Limits, Objective, Service, Stamp};
 pub use sign::{SignOff, Signature, SignedBundle, SigningKeyPair};
-pub use store::{BundleStore, Offer};
+pub use store::{BundleStore, OfferOutcome};
--- a/crates/bundle/src/spread.rs
+++ b/crates/bundle/src/propagation.rs
@@ -7,18 +7,18 @@
 use crate::delta::BundleDelta;
 use crate::error::BundleError;
 use crate::model::Stamp;
-use crate::store::{BundleStore, Offer};
+use crate::store::{BundleStore, OfferOutcome};
 
 /// Members to which a new version is passed on.
 pub const FANOUT: usize = 4;
 
 /// What to do about news of a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SpreadAction {
+pub enum PropagationAction {
     /// Nothing: it is known or older.
     Nothing,
     /// It was accepted: put it in force and pass it on.
-    PassOn(Offer),
+    Propagate(OfferOutcome),
     /// Fetch the whole bundle from whoever sent the news.
     Fetch,
     /// It was refused.
@@ -26,16 +26,16 @@
 }
 
 /// A delta arrived.
-pub fn on_delta(store: &mut BundleStore, delta: &BundleDelta) -> SpreadAction {
+pub fn on_delta(store: &mut BundleStore, delta: &BundleDelta) -> PropagationAction {
     match store.offer_delta(delta) {
-        Ok(Offer::Same) | Err(BundleError::Older { .. }) => SpreadAction::Nothing,
-        Ok(offer) => SpreadAction::PassOn(offer),
-        Err(BundleError::ParentNotHeld { .. }) => SpreadAction::Fetch,
-        Err(error) => SpreadAction::Refuse(error),
+        Ok(OfferOutcome::AlreadyInForce) | Err(BundleError::OlderThanFloor { .. }) => PropagationAction::Nothing,
+        Ok(offer) => PropagationAction::Propagate(offer),
+        Err(BundleError::ParentNotInForce { .. }) => PropagationAction::Fetch,
+        Err(error) => PropagationAction::Refuse(error),
     }
 }
 
 /// A member said which version it has in force.
-pub fn on_version(store: &BundleStore, stamp: Stamp) -> SpreadAction {
-    if stamp > store.stamp() { SpreadAction::Fetch } else { SpreadAction::Nothing }
+pub fn on_version(store: &BundleStore, stamp: Stamp) -> PropagationAction {
+    if stamp > store.stamp() { PropagationAction::Fetch } else { PropagationAction::Nothing }
 }
--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -58,8 +58,8 @@
 
     /// Reads a secret written as 64 hexadecimal digits.
     pub fn from_hex(text: &str) -> Result<Self, BundleError> {
-        let bytes = hex::decode(text.trim()).map_err(|_| BundleError::BadKey)?;
-        let secret: [u8; 32] = bytes.try_into().map_err(|_| BundleError::BadKey)?;
+        let bytes = hex::decode(text.trim()).map_err(|_| BundleError::InvalidKey)?;
+        let secret: [u8; 32] = bytes.try_into().map_err(|_| BundleError::InvalidKey)?;
         Ok(Self::from_secret(secret))
     }
 
--- a/crates/bundle/src/store.rs
+++ b/crates/bundle/src/store.rs
@@ -13,19 +13,19 @@
 
 /// What became of an offered bundle.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// It is now in force.
     Accepted(Stamp),
     /// It is now in force and replaces another bundle of the same version
     /// number, published at the same time.
-    AcceptedOverRival {
+    AcceptedOverConflict {
         /// The version now in force.
         winner: Stamp,
         /// The version that lost.
         loser: Stamp,
     },
     /// It was in force already.
-    Same,
+    AlreadyInForce,
 }
 
 /// The bundle in force, the floor and the last rivalry.
@@ -37,7 +37,7 @@
     current_stamp: Stamp,
     latest_delta: Option<Arc<BundleDelta>>,
     floor: Stamp,
-    last_loser: Option<Stamp>,
+    last_conflict_loser: Option<Stamp>,
 }
 
 impl BundleStore {
@@ -50,12 +50,12 @@
             current_stamp: Stamp::default(),
             latest_delta: None,
             floor: Stamp::default(),
-            last_loser: None,
+            last_conflict_loser: None,
         }
     }
 
     /// Raises the floor to what a peer has in force. Peers are authenticated nodes.
-    pub fn learn_floor(&mut self, stamp: Stamp) {
+    pub fn raise_floor(&mut self, stamp: Stamp) {
         self.floor = self.floor.max(stamp);
     }
 
@@ -80,8 +80,8 @@
     }
 
     /// The last version that lost to another of the same number.
-    pub fn last_loser(&self) -> Option<Stamp> {
-        self.last_loser
+    pub fn last_conflict_loser(&self) -> Option<Stamp> {
+        self.last_conflict_loser
     }
 
     /// True when a bundle is in force and no higher version is known.
@@ -90,23 +90,23 @@
     }
 
     /// Offers a whole bundle.
-    pub fn offer(&mut self, signed: SignedBundle) -> Result<Offer, BundleError> {
+    pub fn offer(&mut self, signed: SignedBundle) -> Result<OfferOutcome, BundleError> {
         let stamp = signed.bundle.stamp();
         if stamp == self.current_stamp {
-            return Ok(Offer::Same);
+            return Ok(OfferOutcome::AlreadyInForce);
         }
         self.refuse_older(stamp)?;
         self.accept(signed, stamp, None)
     }
 
-    /// Offers a delta; fails with [`BundleError::ParentNotHeld`] when the whole bundle is needed.
-    pub fn offer_delta(&mut self, delta: &BundleDelta) -> Result<Offer, BundleError> {
+    /// Offers a delta; fails with [`BundleError::ParentNotInForce`] when the whole bundle is needed.
+    pub fn offer_delta(&mut self, delta: &BundleDelta) -> Result<OfferOutcome, BundleError> {
         if delta.result == self.current_stamp {
-            return Ok(Offer::Same);
+            return Ok(OfferOutcome::AlreadyInForce);
         }
         self.refuse_older(delta.result)?;
         self.sign_off.verify(&delta.result, &delta.signatures)?;
-        let missing = BundleError::ParentNotHeld { version: delta.result.version };
+        let missing = BundleError::ParentNotInForce { version: delta.result.version };
         let parent = self.current.clone().ok_or(missing)?;
         let signed = delta.apply(&parent.bundle, self.current_stamp)?;
         self.accept(signed, delta.result, Some(Arc::new(delta.clone())))
@@ -117,7 +117,7 @@
         signed: SignedBundle,
         stamp: Stamp,
         delta: Option<Arc<BundleDelta>>,
-    ) -> Result<Offer, BundleError> {
+    ) -> Result<OfferOutcome, BundleError> {
         if signed.bundle.deployment != self.deployment {
             return Err(BundleError::WrongDeployment { found: signed.bundle.deployment });
         }
@@ -128,10 +128,10 @@
 
     fn refuse_older(&self, offered: Stamp) -> Result<(), BundleError> {
         let floor = self.floor();
-        if offered < floor { Err(BundleError::Older { offered, floor }) } else { Ok(()) }
+        if offered < floor { Err(BundleError::OlderThanFloor { offered, floor }) } else { Ok(()) }
     }
 
-    fn install(&mut self, signed: SignedBundle, stamp: Stamp, delta: Option<Arc<BundleDelta>>) -> Offer {
+    fn install(&mut self, signed: SignedBundle, stamp: Stamp, delta: Option<Arc<BundleDelta>>) -> OfferOutcome {
         let previous = self.current_stamp;
         let made = || {
             let parent = self.current.as_ref()?;
@@ -141,10 +141,10 @@
         self.current = Some(Arc::new(signed));
         self.current_stamp = stamp;
         if previous.version == stamp.version {
-            self.last_loser = Some(previous);
-            return Offer::AcceptedOverRival { winner: stamp, loser: previous };
+            self.last_conflict_loser = Some(previous);
+            return OfferOutcome::AcceptedOverConflict { winner: stamp, loser: previous };
         }
-        Offer::Accepted(stamp)
+        OfferOutcome::Accepted(stamp)
     }
 
     /// The bundle in force, if any.
--- a/crates/bundle/tests/fuzz.rs
+++ b/crates/bundle/tests/fuzz.rs
@@ -107,7 +107,7 @@
         let before = store.stamp();
         match step {
             Step::Whole(index) => drop(store.offer(signed(all[index].clone()))),
-            Step::Floor(index) => store.learn_floor(all[index].stamp()),
+            Step::Floor(index) => store.raise_floor(all[index].stamp()),
             Step::Delta(index) => {
                 if let Some(parent) = parent_of(all, index) {
                     let target = signed(all[index].clone());
--- a/crates/bundle/tests/store.rs
+++ b/crates/bundle/tests/store.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use olivegate_bundle::{BundleDelta, BundleError, BundleStore, Offer, SignedBundle};
+use olivegate_bundle::{BundleDelta, BundleError, BundleStore, OfferOutcome, SignedBundle};
 use olivegate_types::Digest;
 use support::{bundle, keys, sign_off, signed};
 
@@ -14,9 +14,9 @@
 fn newer_is_accepted_and_older_refused() {
     let mut store = store();
     let second = bundle(2, Digest::default(), 10);
-    assert_eq!(store.offer(signed(second.clone())), Ok(Offer::Accepted(second.stamp())));
+    assert_eq!(store.offer(signed(second.clone())), Ok(OfferOutcome::Accepted(second.stamp())));
     let refused = store.offer(signed(bundle(1, Digest::default(), 10)));
-    assert!(matches!(refused, Err(BundleError::Older { .. })));
+    assert!(matches!(refused, Err(BundleError::OlderThanFloor { .. })));
     assert_eq!(store.stamp(), second.stamp());
 }
 
@@ -63,7 +63,7 @@
 fn nothing_below_the_learnt_floor_is_served() {
     let mut store = store();
     let (first, second) = (bundle(1, Digest::default(), 10), bundle(2, Digest::default(), 10));
-    store.learn_floor(second.stamp());
+    store.raise_floor(second.stamp());
     assert!(store.offer(signed(first)).is_err());
     assert!(!store.may_serve());
     store.offer(signed(second)).unwrap();
@@ -77,7 +77,7 @@
     let second = bundle(2, first.stamp().digest, 20);
     store.offer(signed(first.clone())).unwrap();
     let delta = BundleDelta::between(&first, first.stamp(), &signed(second.clone()), second.stamp()).unwrap();
-    assert_eq!(store.offer_delta(&delta), Ok(Offer::Accepted(second.stamp())));
+    assert_eq!(store.offer_delta(&delta), Ok(OfferOutcome::Accepted(second.stamp())));
     assert_eq!(store.bundle(), Some(&second));
 }
 
--- a/crates/claims/src/claimant.rs
+++ b/crates/claims/src/claim_round.rs
@@ -6,7 +6,7 @@
 
 /// What a round of votes says so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimVerdict {
+pub enum ClaimOutcome {
     /// More votes are needed.
     Pending,
     /// A consistent majority granted the claim: the request may be dispatched.
@@ -61,17 +61,17 @@
     }
 
     /// What the votes say.
-    pub fn verdict(&self) -> ClaimVerdict {
+    pub fn outcome(&self) -> ClaimOutcome {
         if self.consistent_grants() >= majority(self.seats) {
-            return ClaimVerdict::Granted;
+            return ClaimOutcome::Granted;
         }
         let open = self.seats.saturating_sub(self.answered.len());
         if self.consistent_grants() + open >= majority(self.seats) {
-            return ClaimVerdict::Pending;
+            return ClaimOutcome::Pending;
         }
         match &self.held_by {
-            Some(holder) => ClaimVerdict::Held(holder.clone()),
-            None => ClaimVerdict::Unavailable,
+            Some(holder) => ClaimOutcome::Held(holder.clone()),
+            None => ClaimOutcome::Unavailable,
         }
     }
 
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -9,18 +9,18 @@
 //! incarnations). docs/DESIGN.md gives the argument; the tests fuzz it.
 //!
 //! - [`seat`]: one seat.
-//! - [`claimant`]: counts votes for one claim.
-//! - [`answers`]: answers kept for repeats.
+//! - [`claim_round`]: counts votes for one claim.
+//! - [`response_cache`]: answers kept for repeats.
 
-pub mod answers;
-pub mod claimant;
+pub mod claim_round;
 pub mod message;
+pub mod response_cache;
 pub mod seat;
 pub mod vector;
 
-pub use answers::AnswerCache;
-pub use claimant::{ClaimRound, ClaimVerdict};
+pub use claim_round::{ClaimOutcome, ClaimRound};
 pub use message::{Claim, ClaimKey, ClaimRecord, Claimant, RecoveryReply, SeatIndex, Vote, VoteResult};
+pub use response_cache::ResponseCache;
 pub use seat::{Seat, SeatMode};
 pub use vector::{Incarnation, IncarnationVector};
 
--- a/crates/claims/src/answers.rs
+++ b/crates/claims/src/response_cache.rs
@@ -9,13 +9,13 @@
 use crate::message::ClaimKey;
 
 /// Largest kept body, in bytes.
-pub const MAX_KEPT_BODY: usize = 64 << 10;
+pub const MAX_CACHED_BODY: usize = 64 << 10;
 /// Most kept answers.
 const MAX_ANSWERS: usize = 4096;
 
 /// A whole answer.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct KeptAnswer {
+pub struct CachedResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type, empty when there was none.
@@ -26,15 +26,15 @@
 
 /// Bounded answers by key.
 #[derive(Debug, Default)]
-pub struct AnswerCache {
-    answers: HashMap<ClaimKey, (KeptAnswer, Moment)>,
+pub struct ResponseCache {
+    answers: HashMap<ClaimKey, (CachedResponse, Moment)>,
     order: VecDeque<ClaimKey>,
 }
 
-impl AnswerCache {
+impl ResponseCache {
     /// Keeps a whole answer for `memory`.
-    pub fn keep(&mut self, key: ClaimKey, answer: KeptAnswer, memory: Duration, now: Moment) {
-        if answer.body.len() > MAX_KEPT_BODY {
+    pub fn insert(&mut self, key: ClaimKey, answer: CachedResponse, memory: Duration, now: Moment) {
+        if answer.body.len() > MAX_CACHED_BODY {
             return;
         }
         if self.answers.insert(key, (answer, now + memory)).is_none() {
@@ -55,7 +55,7 @@
     }
 
     /// The answer of `key`, if it is still held.
-    pub fn get(&self, key: &ClaimKey, now: Moment) -> Option<KeptAnswer> {
+    pub fn get(&self, key: &ClaimKey, now: Moment) -> Option<CachedResponse> {
         let (answer, until) = self.answers.get(key)?;
         (*until > now).then(|| answer.clone())
     }
--- a/crates/claims/tests/fuzz.rs
+++ b/crates/claims/tests/fuzz.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use olivegate_claims::{
-    Claim, ClaimKey, ClaimRound, ClaimVerdict, Claimant, Incarnation, IncarnationVector, RecoveryReply, Seat,
+    Claim, ClaimKey, ClaimOutcome, ClaimRound, Claimant, Incarnation, IncarnationVector, RecoveryReply, Seat,
     SeatIndex, SeatMode, Vote,
 };
 use olivegate_types::{Digest, Moment, NodeName, RequestId};
@@ -233,7 +233,7 @@
         let round = &mut self.rounds[index];
         round.votes.on_vote(vote);
         let in_time = self.now.since(round.started) < MEMORY / 2;
-        if round.votes.verdict() == ClaimVerdict::Granted && in_time && !round.granted {
+        if round.votes.outcome() == ClaimOutcome::Granted && in_time && !round.granted {
             round.granted = true;
             self.grants.entry(round.claim.key).or_default().push(round.started);
         }
--- a/crates/claims/tests/seat.rs
+++ b/crates/claims/tests/seat.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use olivegate_claims::{
-    Claim, ClaimKey, ClaimRound, ClaimVerdict, Claimant, Incarnation, IncarnationVector, RecoveryReply, Seat,
+    Claim, ClaimKey, ClaimOutcome, ClaimRound, Claimant, Incarnation, IncarnationVector, RecoveryReply, Seat,
     SeatIndex, SeatMode, VoteResult,
 };
 use olivegate_types::{Digest, Moment, NodeName, RequestId};
@@ -44,12 +44,12 @@
     }
 }
 
-fn verdict(claim: &Claim, seats: &mut [&mut Seat], now: Moment) -> ClaimVerdict {
+fn verdict(claim: &Claim, seats: &mut [&mut Seat], now: Moment) -> ClaimOutcome {
     let mut round = ClaimRound::new(claim.known.clone());
     for seat in seats {
         round.on_vote(seat.on_claim(claim, now));
     }
-    round.verdict()
+    round.outcome()
 }
 
 #[test]
@@ -60,22 +60,22 @@
 #[test]
 fn the_first_claimant_gets_the_key_and_the_second_learns_who_holds_it() {
     let [mut a, mut b, mut c] = group();
-    assert_eq!(verdict(&claim(1), &mut [&mut a, &mut b, &mut c], at(1)), ClaimVerdict::Granted);
+    assert_eq!(verdict(&claim(1), &mut [&mut a, &mut b, &mut c], at(1)), ClaimOutcome::Granted);
     let second = verdict(&claim(2), &mut [&mut a, &mut b, &mut c], at(2));
-    assert_eq!(second, ClaimVerdict::Held(Some(claim(1).claimant)));
+    assert_eq!(second, ClaimOutcome::Held(Some(claim(1).claimant)));
 }
 
 #[test]
 fn one_seat_is_no_majority() {
     let [mut a, _, _] = group();
-    assert_eq!(verdict(&claim(1), &mut [&mut a], at(1)), ClaimVerdict::Pending);
+    assert_eq!(verdict(&claim(1), &mut [&mut a], at(1)), ClaimOutcome::Pending);
 }
 
 #[test]
 fn a_restarted_seat_does_not_vote_before_the_others_handed_over() {
     let [mut a, mut b, c] = group();
     drop(c);
-    assert_eq!(verdict(&claim(1), &mut [&mut a, &mut b], at(1)), ClaimVerdict::Granted);
+    assert_eq!(verdict(&claim(1), &mut [&mut a, &mut b], at(1)), ClaimOutcome::Granted);
     let mut again = seat(2, 2, false, at(2));
     assert_eq!(again.on_claim(&claim(2), at(2)).result, VoteResult::NotVoting);
     recover(&mut again, &mut [&mut a, &mut b], at(3));
@@ -90,7 +90,7 @@
     recover(&mut successor, &mut [&mut b, &mut c], at(1));
     assert_eq!(successor.mode(), SeatMode::Voting);
     let old_holder = verdict(&claim(1), &mut [&mut a, &mut b], at(2));
-    assert_eq!(old_holder, ClaimVerdict::Pending);
+    assert_eq!(old_holder, ClaimOutcome::Pending);
     let mut told = claim(3);
     told.known = successor.vector().clone();
     assert_eq!(a.on_claim(&told, at(3)).result, VoteResult::NotVoting);
--- a/crates/control/src/datagram.rs
+++ b/crates/control/src/datagram.rs
@@ -50,8 +50,8 @@
     pub fn from_bytes(bytes: &[u8], key: &DeploymentKey) -> Result<Self, ControlError> {
         let content = key.open(bytes).ok_or(ControlError::Authentication)?;
         match content.split_first() {
-            Some((&PROTOCOL_VERSION, body)) => borsh::from_slice(body).map_err(|_| ControlError::Shape),
-            _ => Err(ControlError::Shape),
+            Some((&PROTOCOL_VERSION, body)) => borsh::from_slice(body).map_err(|_| ControlError::Malformed),
+            _ => Err(ControlError::Malformed),
         }
     }
 }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -12,7 +12,7 @@
     /// The bytes are not sealed with this deployment's key.
     Authentication,
     /// The bytes have another shape or protocol version.
-    Shape,
+    Malformed,
     /// Longer than allowed.
     TooLong,
 }
@@ -23,7 +23,7 @@
             ControlError::Connect => "peer cannot be reached",
             ControlError::Call => "control call broke off or timed out",
             ControlError::Authentication => "message was not sealed by a node of this deployment",
-            ControlError::Shape => "message has an unknown shape or version",
+            ControlError::Malformed => "message has an unknown shape or version",
             ControlError::TooLong => "message is too long",
         })
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -2,7 +2,7 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_bundle::Stamp;
-use olivegate_claims::answers::KeptAnswer;
+use olivegate_claims::response_cache::CachedResponse;
 use olivegate_claims::{Claim, ClaimKey, Claimant, Incarnation, RecoveryReply, SeatIndex, Vote};
 use olivegate_membership::MemberRecord;
 use olivegate_types::RequestId;
@@ -21,7 +21,7 @@
     /// Announces a new incarnation of `recovering` to the seat held by the peer.
     async fn recover(seat: SeatIndex, recovering: SeatIndex, incarnation: Incarnation) -> RecoveryReply;
     /// The answer that the peer keeps for a key.
-    async fn kept_answer(key: ClaimKey) -> Option<KeptAnswer>;
+    async fn cached_response(key: ClaimKey) -> Option<CachedResponse>;
     /// The version in force at the peer.
     async fn bundle_stamp() -> Stamp;
     /// The signed bundle in force at the peer, in binary form.
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -29,8 +29,8 @@
 #[rstest]
 #[case::another_deployment(datagram().to_bytes(&other_key()), ControlError::Authentication)]
 #[case::empty(Vec::new(), ControlError::Authentication)]
-#[case::another_version(key().seal(vec![9, 0, 0]), ControlError::Shape)]
-#[case::garbled_content(key().seal(vec![1, 200, 7]), ControlError::Shape)]
+#[case::another_version(key().seal(vec![9, 0, 0]), ControlError::Malformed)]
+#[case::garbled_content(key().seal(vec![1, 200, 7]), ControlError::Malformed)]
 fn other_bytes_are_refused(#[case] bytes: Vec<u8>, #[case] expected: ControlError) {
     assert_eq!(Datagram::from_bytes(&bytes, &key()), Err(expected));
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -67,7 +67,7 @@
     }
 
     /// Time between full exchanges, among `members`.
-    pub fn sync_after(&self, members: usize) -> Duration {
+    pub fn sync_interval_for(&self, members: usize) -> Duration {
         self.sync_interval + self.sync_interval_per_member * members as u32
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -22,4 +22,4 @@
 pub use config::MembershipConfig;
 pub use membership::{Membership, Output};
 pub use message::Message;
-pub use record::{MemberRecord, MemberState, SeatHeld};
+pub use record::{HeldSeat, MemberRecord, MemberState};
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -12,7 +12,7 @@
 use crate::detector::{Detector, Relay};
 use crate::gossip::GossipQueue;
 use crate::message::{Message, Purpose};
-use crate::record::{MemberRecord, MemberState, SeatHeld};
+use crate::record::{HeldSeat, MemberRecord, MemberState};
 
 /// Periods between two attempts to reach a seed that is not a member.
 const STRANGER_PERIODS: u32 = 4;
@@ -145,7 +145,7 @@
     }
 
     /// Announces the seats held by this node.
-    pub fn set_seats(&mut self, seats: Vec<SeatHeld>) {
+    pub fn set_seats(&mut self, seats: Vec<HeldSeat>) {
         if self.own.seats != seats {
             self.own.seats = seats;
             self.announce();
@@ -214,7 +214,7 @@
         let wait = match (known.is_empty(), strangers.is_empty()) {
             (true, _) => self.config.period * 2,
             (false, false) => self.config.period * STRANGER_PERIODS,
-            (false, true) => self.config.sync_after(known.len()),
+            (false, true) => self.config.sync_interval_for(known.len()),
         };
         self.next_sync = now + wait.mul_f64(self.random.random_range(0.75..1.25));
         let candidates = if strangers.is_empty() { &known } else { &strangers };
@@ -428,7 +428,7 @@
     }
 
     /// Drops changes that still have to be passed on; for fleets that start settled in a simulation.
-    pub fn forget_gossip(&mut self) {
+    pub fn clear_gossip(&mut self) {
         self.gossip = GossipQueue::default();
     }
 
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -20,7 +20,7 @@
 
 /// A seat that a member says it holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct SeatHeld {
+pub struct HeldSeat {
     /// Position of the seat.
     pub index: u8,
     /// Counter of its incarnation.
@@ -45,7 +45,7 @@
     /// State.
     pub state: MemberState,
     /// Seats held.
-    pub seats: Vec<SeatHeld>,
+    pub seats: Vec<HeldSeat>,
 }
 
 impl MemberRecord {
--- a/crates/node/src/control_loops/bundle.rs
+++ b/crates/node/src/control_loops/bundle.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use olivegate_bundle::spread::{self, FANOUT, SpreadAction};
-use olivegate_bundle::{BundleDelta, BundleError, IndexedBundle, Offer, SignedBundle, Stamp};
+use olivegate_bundle::propagation::{self, FANOUT, PropagationAction};
+use olivegate_bundle::{BundleDelta, BundleError, IndexedBundle, OfferOutcome, SignedBundle, Stamp};
 use olivegate_control::Datagram;
 use olivegate_control::datagram::MAX_DATAGRAM;
 use olivegate_routing::rendezvous;
@@ -79,11 +79,11 @@
     Ok(())
 }
 
-fn take_effect(node: &Node, outcome: Offer) {
+fn take_effect(node: &Node, outcome: OfferOutcome) {
     match outcome {
-        Offer::Same => return,
-        Offer::Accepted(stamp) => log::info!("event=bundle_in_force version={stamp}"),
-        Offer::AcceptedOverRival { winner, loser } => {
+        OfferOutcome::AlreadyInForce => return,
+        OfferOutcome::Accepted(stamp) => log::info!("event=bundle_in_force version={stamp}"),
+        OfferOutcome::AcceptedOverConflict { winner, loser } => {
             log::warn!("event=bundle_in_force version={winner} lost_rival={loser}");
         }
     }
@@ -126,27 +126,27 @@
 
 /// A delta arrives from a member.
 pub fn on_delta(node: &Node, from: &NodeName, delta: BundleDelta) {
-    let action = spread::on_delta(&mut lock(&node.bundles), &delta);
+    let action = propagation::on_delta(&mut lock(&node.bundles), &delta);
     carry_out(node, from, action);
 }
 
 /// A member says which version it has: a higher one is fetched from it.
 pub fn on_version(node: &Node, from: &NodeName, stamp: Stamp) {
-    let action = spread::on_version(&lock(&node.bundles), stamp);
+    let action = propagation::on_version(&lock(&node.bundles), stamp);
     carry_out(node, from, action);
 }
 
-fn carry_out(node: &Node, from: &NodeName, action: SpreadAction) {
+fn carry_out(node: &Node, from: &NodeName, action: PropagationAction) {
     match action {
-        SpreadAction::Nothing => {}
-        SpreadAction::PassOn(offer) => take_effect(node, offer),
-        SpreadAction::Fetch => {
+        PropagationAction::Nothing => {}
+        PropagationAction::Propagate(offer) => take_effect(node, offer),
+        PropagationAction::Fetch => {
             let address = lock(&node.membership).get(from).map(|record| record.control);
             if let Some(address) = address {
                 tokio::spawn(fetch_from(node.clone(), address));
             }
         }
-        SpreadAction::Refuse(error) => {
+        PropagationAction::Refuse(error) => {
             log::warn!("event=delta_refused from={from} reason={:?}", error.to_string());
         }
     }
@@ -163,7 +163,7 @@
         Err(error) => Err(error),
     };
     match offered {
-        Ok(()) | Err(BundleError::Older { .. }) => {}
+        Ok(()) | Err(BundleError::OlderThanFloor { .. }) => {}
         Err(error) => log::warn!("event=bundle_not_accepted source={address} reason={:?}", error.to_string()),
     }
 }
@@ -184,7 +184,7 @@
                 .call(address, FETCH_TIMEOUT, |client, rpc| async move { client.bundle_stamp(rpc).await });
             if let Ok(stamp) = asked.await {
                 learnt = true;
-                lock(&node.bundles).learn_floor(stamp);
+                lock(&node.bundles).raise_floor(stamp);
                 if stamp.version > 0 {
                     fetch_from(node.clone(), *seed).await;
                 }
--- a/crates/node/src/control_loops/seats.rs
+++ b/crates/node/src/control_loops/seats.rs
@@ -12,7 +12,7 @@
 use olivegate_claims::{
     Claim, ClaimKey, Claimant, Incarnation, IncarnationVector, RecoveryReply, Seat, SeatIndex, SeatMode, Vote,
 };
-use olivegate_membership::{MemberRecord, Membership, SeatHeld};
+use olivegate_membership::{HeldSeat, MemberRecord, Membership};
 use olivegate_routing::rendezvous;
 use olivegate_types::{Moment, ZoneName};
 
@@ -85,9 +85,9 @@
     }
 
     /// Seats held, for heartbeats and status.
-    pub fn announced(&self) -> Vec<SeatHeld> {
+    pub fn announced(&self) -> Vec<HeldSeat> {
         let live = self.held.values().filter(|seat| seat.mode() != SeatMode::Retired);
-        let announced = |seat: &Seat| SeatHeld {
+        let announced = |seat: &Seat| HeldSeat {
             index: seat.index().0,
             counter: seat.incarnation().counter,
             voting: seat.mode() == SeatMode::Voting,
--- a/crates/node/src/edge/answer.rs
+++ b/crates/node/src/edge/answer.rs
@@ -5,7 +5,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Body;
 use hyper::{Response, StatusCode};
-use olivegate_claims::answers::{KeptAnswer, MAX_KEPT_BODY};
+use olivegate_claims::response_cache::{CachedResponse, MAX_CACHED_BODY};
 use olivegate_types::{Moment, Outcome, RequestId, header};
 
 use crate::body::{self, AnyBody, GuardedBody};
@@ -100,12 +100,12 @@
 
     /// Keeps a small whole answer for repeats; larger ones are passed on only.
     async fn keep(self, node: &Node, response: Response<AnyBody>) -> Response<AnyBody> {
-        let small = response.body().size_hint().upper().is_some_and(|size| size <= MAX_KEPT_BODY as u64);
+        let small = response.body().size_hint().upper().is_some_and(|size| size <= MAX_CACHED_BODY as u64);
         if !small {
             return response;
         }
         let (parts, streamed) = response.into_parts();
-        let limited = Limited::new(streamed, MAX_KEPT_BODY);
+        let limited = Limited::new(streamed, MAX_CACHED_BODY);
         let collected = tokio::time::timeout_at(clock::instant_of(self.deadline), limited.collect()).await;
         let Ok(Ok(collected)) = collected else {
             let answer = FinalAnswer::unknown(StatusCode::BAD_GATEWAY, "answer broke off", FAILED_RETRY_AFTER);
@@ -113,12 +113,12 @@
         };
         let bytes = collected.to_bytes();
         let content_type = parts.headers.get("content-type").and_then(|value| value.to_str().ok());
-        let kept = KeptAnswer {
+        let kept = CachedResponse {
             status: parts.status.as_u16(),
             content_type: content_type.unwrap_or_default().to_string(),
             body: bytes.to_vec(),
         };
-        lock(&node.answers).keep(self.claim.key(), kept, self.memory, clock::now());
+        lock(&node.answers).insert(self.claim.key(), kept, self.memory, clock::now());
         Response::from_parts(parts, body::full(bytes))
     }
 }
--- a/crates/node/src/edge/claim.rs
+++ b/crates/node/src/edge/claim.rs
@@ -5,8 +5,8 @@
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
 use hyper::{Response, StatusCode};
-use olivegate_claims::answers::KeptAnswer;
-use olivegate_claims::{Claim, ClaimKey, ClaimRound, ClaimVerdict, Claimant, SeatIndex, Vote};
+use olivegate_claims::response_cache::CachedResponse;
+use olivegate_claims::{Claim, ClaimKey, ClaimOutcome, ClaimRound, Claimant, SeatIndex, Vote};
 use olivegate_types::{Digest, Moment, Outcome, RefusalReason, RequestContext, header};
 
 use crate::body::{self, AnyBody};
@@ -77,15 +77,15 @@
     let key = call.key;
     let claimant = Claimant { node: node.name().clone(), request: call.context.request };
     let verdict = run_round(node, &call, &claimant).await;
-    let granted = verdict == ClaimVerdict::Granted;
+    let granted = verdict == ClaimOutcome::Granted;
     node.note(call.context.request, call.context.hop, Decision::Claim { granted });
     match verdict {
-        ClaimVerdict::Granted => Ok(Some(HeldClaim { key, claimant })),
-        ClaimVerdict::Held(holder) => {
+        ClaimOutcome::Granted => Ok(Some(HeldClaim { key, claimant })),
+        ClaimOutcome::Held(holder) => {
             HeldClaim { key, claimant }.abandon(node);
             Err(Box::new(answer_of_holder(node, &call, holder).await))
         }
-        ClaimVerdict::Pending | ClaimVerdict::Unavailable => {
+        ClaimOutcome::Pending | ClaimOutcome::Unavailable => {
             HeldClaim { key, claimant }.abandon(node);
             let reason = RefusalReason::ClaimUnavailable;
             node.metrics.on_refusal(reason);
@@ -95,7 +95,7 @@
     }
 }
 
-async fn run_round(node: &Node, call: &ClaimRequest, claimant: &Claimant) -> ClaimVerdict {
+async fn run_round(node: &Node, call: &ClaimRequest, claimant: &Claimant) -> ClaimOutcome {
     let known = lock(&node.seats).known().clone();
     let seats = known.len();
     let claim =
@@ -104,7 +104,7 @@
     let timeout = ROUND_TIMEOUT.min(call.deadline.since(clock::now()));
     let mut votes: FuturesUnordered<_> =
         (0..seats).map(|index| ask_seat(node, SeatIndex(index as u8), claim.clone(), timeout)).collect();
-    while round.verdict() == ClaimVerdict::Pending {
+    while round.outcome() == ClaimOutcome::Pending {
         match votes.next().await {
             Some((_, Some(vote))) => round.on_vote(vote),
             Some((seat, None)) => round.on_unreachable(seat),
@@ -112,7 +112,7 @@
         }
     }
     lock(&node.seats).learn(round.known());
-    round.verdict()
+    round.outcome()
 }
 
 async fn ask_seat(node: &Node, seat: SeatIndex, claim: Claim, timeout: Duration) -> (SeatIndex, Option<Vote>) {
@@ -165,15 +165,15 @@
     }
 }
 
-async fn fetch_kept(node: &Node, key: ClaimKey, holder: &Claimant) -> Option<KeptAnswer> {
+async fn fetch_kept(node: &Node, key: ClaimKey, holder: &Claimant) -> Option<CachedResponse> {
     let address = lock(&node.membership).get(&holder.node).map(|record| record.control)?;
-    let asked = node
-        .control
-        .call(node.dial(address), ROUND_TIMEOUT, |client, rpc| async move { client.kept_answer(rpc, key).await });
+    let asked = node.control.call(node.dial(address), ROUND_TIMEOUT, |client, rpc| async move {
+        client.cached_response(rpc, key).await
+    });
     asked.await.ok().flatten()
 }
 
-fn repeat(call: &ClaimRequest, kept: KeptAnswer) -> Response<AnyBody> {
+fn repeat(call: &ClaimRequest, kept: CachedResponse) -> Response<AnyBody> {
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let outcome = if status.is_server_error() { Outcome::Failed } else { Outcome::Ok };
     let mut response = Response::new(body::full(kept.body));
--- a/crates/node/src/ports/admin.rs
+++ b/crates/node/src/ports/admin.rs
@@ -122,7 +122,7 @@
         "version": store.stamp().version,
         "digest": store.stamp().digest.to_string(),
         "floor": store.floor().to_string(),
-        "lost_rival": store.last_loser().map(|stamp| stamp.to_string()),
+        "lost_rival": store.last_conflict_loser().map(|stamp| stamp.to_string()),
     })
 }
 
--- a/crates/node/src/ports/control.rs
+++ b/crates/node/src/ports/control.rs
@@ -2,7 +2,7 @@
 
 use futures::StreamExt;
 use olivegate_bundle::Stamp;
-use olivegate_claims::answers::KeptAnswer;
+use olivegate_claims::response_cache::CachedResponse;
 use olivegate_claims::{Claim, ClaimKey, Claimant, Incarnation, RecoveryReply, SeatIndex, Vote};
 use olivegate_control::Control;
 use olivegate_control::transport::server_transport;
@@ -67,7 +67,7 @@
         lock(&self.node.seats).on_recover(seat, recovering, &incarnation, clock::now())
     }
 
-    async fn kept_answer(self, _: Context, key: ClaimKey) -> Option<KeptAnswer> {
+    async fn cached_response(self, _: Context, key: ClaimKey) -> Option<CachedResponse> {
         lock(&self.node.answers).get(&key, clock::now())
     }
 
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
 
 use olivegate_bundle::{BundleStore, IndexedBundle};
-use olivegate_claims::AnswerCache;
+use olivegate_claims::ResponseCache;
 use olivegate_control::ControlPool;
 use olivegate_membership::{MemberRecord, MemberState, Membership, MembershipConfig};
 use olivegate_overload::LevelTable;
@@ -74,7 +74,7 @@
     /// Seats held here.
     pub seats: Mutex<SeatTable>,
     /// Answers kept for repeats.
-    pub answers: Mutex<AnswerCache>,
+    pub answers: Mutex<ResponseCache>,
     /// Recent decisions.
     pub explain: Mutex<ExplainRing>,
     /// Metrics.
