--- a/crates/sidecar/src/gate/exchange.rs
+++ b/crates/sidecar/src/gate/exchange.rs
@@ -129,7 +129,7 @@
     body: Body,
 ) -> Result<MatchedHead, Failure> {
     let responses = &mut connection.responses;
-    responses.decoder_mut().expect_answer_to_head(head.method == "HEAD");
+    responses.decoder_mut().expect_response_to_head(head.method == "HEAD");
     let mut sent_bytes = 0;
     let mut sent = None;
     let result = {
