--- a/crates/http1/src/decode.rs
+++ b/crates/http1/src/decode.rs
@@ -8,26 +8,26 @@
 use crate::fields::Fields;
 use crate::head::{RequestHead, ResponseHead};
 
-/// Most header fields of one message.
+/// Maximum number of header fields in a message.
 const MAX_FIELDS: usize = 96;
-/// Longest line that opens a chunk, in bytes.
+/// Maximum length of a chunk size line, in bytes.
 const MAX_CHUNK_LINE: usize = 1024;
-/// Longest run of trailer lines, in bytes.
+/// Maximum length of all trailer lines together, in bytes.
 const MAX_TRAILERS: usize = 16 * 1024;
 
-/// A piece of a message: its head, then data, then its end.
+/// A part of a message: its head, then data, then its end.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Frame<Head> {
-    /// The head, and how the body ends. [`Frame::End`] follows also when there is none.
+    /// The head, and the length of the body. [`Frame::End`] follows even if there is no body.
     Head(Head, BodyLength),
     /// Bytes of the body.
     Data(Bytes),
-    /// The message is whole.
+    /// The message is complete.
     End,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Reading {
+enum DecodeState {
     Head,
     Known(u64),
     ChunkSize,
@@ -38,16 +38,16 @@
     Finished,
 }
 
-fn reading_of(length: BodyLength) -> Reading {
+fn body_state(length: BodyLength) -> DecodeState {
     match length {
-        BodyLength::None => Reading::Finished,
-        BodyLength::Known(length) => Reading::Known(length),
-        BodyLength::Chunked => Reading::ChunkSize,
-        BodyLength::UntilClose => Reading::UntilClose,
+        BodyLength::None => DecodeState::Finished,
+        BodyLength::Known(length) => DecodeState::Known(length),
+        BodyLength::Chunked => DecodeState::ChunkSize,
+        BodyLength::UntilClose => DecodeState::UntilClose,
     }
 }
 
-fn copied_fields(parsed: &[httparse::Header<'_>], source: &Bytes) -> Fields {
+fn to_fields(parsed: &[httparse::Header<'_>], source: &Bytes) -> Fields {
     let mut fields = Fields::default();
     for header in parsed {
         fields.add(source.slice_ref(header.name.as_bytes()), source.slice_ref(header.value));
@@ -55,53 +55,53 @@
     fields
 }
 
-/// Reads bodies; shared by both decoders.
+/// Reads message bodies for both decoders.
 #[derive(Debug)]
 struct BodyReader {
-    reading: Reading,
+    state: DecodeState,
     trailer_bytes: usize,
 }
 
 impl BodyReader {
     fn new() -> Self {
-        BodyReader { reading: Reading::Head, trailer_bytes: 0 }
+        BodyReader { state: DecodeState::Head, trailer_bytes: 0 }
     }
 
     fn start(&mut self, length: BodyLength) {
-        self.reading = reading_of(length);
+        self.state = body_state(length);
         self.trailer_bytes = 0;
     }
 
-    /// The next piece of the body; call only after [`BodyReader::start`].
+    /// The next frame of the body; call only after [`BodyReader::start`].
     fn next<Head>(&mut self, source: &mut BytesMut) -> Result<Option<Frame<Head>>, DecodeError> {
         loop {
-            match self.reading {
-                Reading::Head => return Ok(None),
-                Reading::Finished => {
-                    self.reading = Reading::Head;
+            match self.state {
+                DecodeState::Head => return Ok(None),
+                DecodeState::Finished => {
+                    self.state = DecodeState::Head;
                     return Ok(Some(Frame::End));
                 }
-                Reading::Known(left) => {
+                DecodeState::Known(left) => {
                     let Some(data) = take_up_to(source, left) else { return Ok(None) };
                     let left = left - data.len() as u64;
-                    self.reading = if left == 0 { Reading::Finished } else { Reading::Known(left) };
+                    self.state = if left == 0 { DecodeState::Finished } else { DecodeState::Known(left) };
                     return Ok(Some(Frame::Data(data)));
                 }
-                Reading::UntilClose => {
+                DecodeState::UntilClose => {
                     return Ok(take_up_to(source, u64::MAX).map(Frame::Data));
                 }
-                Reading::ChunkSize => {
+                DecodeState::ChunkSize => {
                     if !self.read_chunk_size(source)? {
                         return Ok(None);
                     }
                 }
-                Reading::ChunkData(left) => {
+                DecodeState::ChunkData(left) => {
                     let Some(data) = take_up_to(source, left) else { return Ok(None) };
                     let left = left - data.len() as u64;
-                    self.reading = if left == 0 { Reading::ChunkDataEnd } else { Reading::ChunkData(left) };
+                    self.state = if left == 0 { DecodeState::ChunkDataEnd } else { DecodeState::ChunkData(left) };
                     return Ok(Some(Frame::Data(data)));
                 }
-                Reading::ChunkDataEnd => {
+                DecodeState::ChunkDataEnd => {
                     if source.len() < 2 {
                         return Ok(None);
                     }
@@ -109,9 +109,9 @@
                         return Err(DecodeError::Malformed("chunk end"));
                     }
                     source.advance(2);
-                    self.reading = Reading::ChunkSize;
+                    self.state = DecodeState::ChunkSize;
                 }
-                Reading::Trailers => {
+                DecodeState::Trailers => {
                     if !self.read_trailer(source)? {
                         return Ok(None);
                     }
@@ -120,12 +120,12 @@
         }
     }
 
-    /// Reads the line that opens a chunk; false when more bytes are needed.
+    /// Reads a chunk size line; false when more bytes are needed.
     fn read_chunk_size(&mut self, source: &mut BytesMut) -> Result<bool, DecodeError> {
         match httparse::parse_chunk_size(source) {
             Ok(httparse::Status::Complete((used, size))) => {
                 source.advance(used);
-                self.reading = if size == 0 { Reading::Trailers } else { Reading::ChunkData(size) };
+                self.state = if size == 0 { DecodeState::Trailers } else { DecodeState::ChunkData(size) };
                 Ok(true)
             }
             Ok(httparse::Status::Partial) if source.len() <= MAX_CHUNK_LINE => Ok(false),
@@ -145,27 +145,27 @@
         let is_last = matches!(&source[..end], b"" | b"\r");
         source.advance(end + 1);
         if is_last {
-            self.reading = Reading::Finished;
+            self.state = DecodeState::Finished;
         }
         Ok(true)
     }
 
-    /// What the orderly end of the connection means here.
-    fn end_of_connection<Head>(&mut self, source: &BytesMut) -> Result<Option<Frame<Head>>, DecodeError> {
-        match self.reading {
-            Reading::UntilClose => {
-                self.reading = Reading::Head;
+    /// Handles an orderly close of the connection.
+    fn on_eof<Head>(&mut self, source: &BytesMut) -> Result<Option<Frame<Head>>, DecodeError> {
+        match self.state {
+            DecodeState::UntilClose => {
+                self.state = DecodeState::Head;
                 Ok(Some(Frame::End))
             }
-            Reading::Head if source.is_empty() => Ok(None),
+            DecodeState::Head if source.is_empty() => Ok(None),
             _ => Err(DecodeError::Incomplete),
         }
     }
 }
 
-/// Up to `most` bytes; `None` when there are none.
-fn take_up_to(source: &mut BytesMut, most: u64) -> Option<Bytes> {
-    let length = usize::try_from(most).unwrap_or(usize::MAX).min(source.len());
+/// Up to `max` bytes; `None` when `source` is empty.
+fn take_up_to(source: &mut BytesMut, max: u64) -> Option<Bytes> {
+    let length = usize::try_from(max).unwrap_or(usize::MAX).min(source.len());
     (length > 0).then(|| source.split_to(length).freeze())
 }
 
@@ -179,7 +179,7 @@
 }
 
 impl RequestDecoder {
-    /// A decoder with limits for the head and the body of a request, in bytes.
+    /// A decoder with size limits for the head and the body of a request, in bytes.
     pub fn new(max_head_bytes: usize, max_body_bytes: u64) -> Self {
         RequestDecoder { max_head_bytes, max_body_bytes, body_bytes: 0, body: BodyReader::new() }
     }
@@ -200,9 +200,9 @@
             method: bytes.slice_ref(parsed.method.unwrap_or_default().as_bytes()),
             target: bytes.slice_ref(parsed.path.unwrap_or_default().as_bytes()),
             minor_version: parsed.version.unwrap_or(1),
-            fields: copied_fields(parsed.headers, &bytes),
+            fields: to_fields(parsed.headers, &bytes),
         };
-        let length = body::of_request(&head.fields)?;
+        let length = body::request_body_length(&head.fields)?;
         if matches!(length, BodyLength::Known(length) if length > self.max_body_bytes) {
             return Err(DecodeError::BodyTooLarge);
         }
@@ -217,7 +217,7 @@
     type Error = DecodeError;
 
     fn decode(&mut self, source: &mut BytesMut) -> Result<Option<Self::Item>, DecodeError> {
-        if self.body.reading == Reading::Head {
+        if self.body.state == DecodeState::Head {
             return self.head(source);
         }
         let frame = self.body.next(source)?;
@@ -233,7 +233,7 @@
     fn decode_eof(&mut self, source: &mut BytesMut) -> Result<Option<Self::Item>, DecodeError> {
         match self.decode(source)? {
             Some(frame) => Ok(Some(frame)),
-            None => self.body.end_of_connection(source),
+            None => self.body.on_eof(source),
         }
     }
 }
@@ -242,19 +242,19 @@
 #[derive(Debug)]
 pub struct ResponseDecoder {
     max_head_bytes: usize,
-    answers_head: bool,
+    is_response_to_head: bool,
     body: BodyReader,
 }
 
 impl ResponseDecoder {
-    /// A decoder with a limit for the head of a response, in bytes.
+    /// A decoder with a size limit for the head of a response, in bytes.
     pub fn new(max_head_bytes: usize) -> Self {
-        ResponseDecoder { max_head_bytes, answers_head: false, body: BodyReader::new() }
+        ResponseDecoder { max_head_bytes, is_response_to_head: false, body: BodyReader::new() }
     }
 
-    /// Says whether the next response answers a `HEAD` request.
+    /// Sets whether the next response is to a `HEAD` request, and so has no body.
     pub fn expect_response_to_head(&mut self, to_head: bool) {
-        self.answers_head = to_head;
+        self.is_response_to_head = to_head;
     }
 
     fn head(&mut self, source: &mut BytesMut) -> Result<Option<Frame<ResponseHead>>, DecodeError> {
@@ -272,12 +272,12 @@
             let head = ResponseHead {
                 status: parsed.code.unwrap_or_default(),
                 minor_version: parsed.version.unwrap_or(1),
-                fields: copied_fields(parsed.headers, &bytes),
+                fields: to_fields(parsed.headers, &bytes),
             };
             if (100..200).contains(&head.status) {
                 continue;
             }
-            let length = body::of_response(head.status, &head.fields, self.answers_head)?;
+            let length = body::response_body_length(head.status, &head.fields, self.is_response_to_head)?;
             self.body.start(length);
             return Ok(Some(Frame::Head(head, length)));
         }
@@ -289,24 +289,24 @@
     type Error = DecodeError;
 
     fn decode(&mut self, source: &mut BytesMut) -> Result<Option<Self::Item>, DecodeError> {
-        if self.body.reading == Reading::Head { self.head(source) } else { self.body.next(source) }
+        if self.body.state == DecodeState::Head { self.head(source) } else { self.body.next(source) }
     }
 
     fn decode_eof(&mut self, source: &mut BytesMut) -> Result<Option<Self::Item>, DecodeError> {
         match self.decode(source)? {
             Some(frame) => Ok(Some(frame)),
-            None => self.body.end_of_connection(source),
+            None => self.body.on_eof(source),
         }
     }
 }
 
-/// Skips line ends in front of a request, as RFC 9112 asks.
+/// Skips empty lines before a request line, as RFC 9112 recommends.
 fn skip_empty_lines(source: &mut BytesMut) {
     let empty = source.iter().take_while(|&&byte| byte == b'\r' || byte == b'\n').count();
     source.advance(empty);
 }
 
-/// Length of the head in front of `source`; `None` when it is not whole yet.
+/// Length of the head at the start of `source`; `None` while it is incomplete.
 fn head_length(source: &BytesMut, max: usize) -> Result<Option<usize>, DecodeError> {
     let end = source.windows(4).position(|window| window == b"\r\n\r\n").map(|at| at + 4);
     match end {
@@ -317,7 +317,7 @@
     }
 }
 
-/// Bytes that can't become a message fail at once, before a whole head is in.
+/// Rejects bytes that can't start a message at once, before a complete head has arrived.
 fn check_start(source: &BytesMut) -> Result<Option<usize>, DecodeError> {
     let printable = source.iter().take(8).all(|byte| byte.is_ascii_graphic() || *byte == b' ');
     if printable { Ok(None) } else { Err(DecodeError::Malformed("start")) }
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,13 +1,13 @@
-//! Why bytes are no HTTP message.
+//! Errors of the decoders.
 
 use std::fmt;
 
-/// A message that can't be read.
+/// Why a message can't be decoded.
 #[derive(Debug)]
 pub enum DecodeError {
     /// The connection failed.
     Io(std::io::Error),
-    /// The bytes are no message; the text names what is wrong.
+    /// The bytes are not a valid message; the text names the invalid part.
     Malformed(&'static str),
     /// The head is longer than the limit.
     HeadTooLarge,
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -1,9 +1,9 @@
-//! Header fields in their order.
+//! Header fields in the order in which they were received.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use bytes::Bytes;
 
-/// Fields that concern one connection only; never passed along.
+/// Hop-by-hop fields and the body length; never forwarded.
 const CONNECTION_FIELDS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -18,13 +18,13 @@
 /// One header field.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Field {
-    /// Name, as it was written.
+    /// Name, in its original case.
     pub name: Bytes,
-    /// Value, without surrounding blanks.
+    /// Value, without surrounding whitespace.
     pub value: Bytes,
 }
 
-/// Header fields in their order; names compare without regard to case.
+/// Header fields in their order; names are case-insensitive.
 #[derive(Debug, Clone, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Fields {
     list: Vec<Field>,
@@ -36,7 +36,7 @@
         self.list.push(Field { name: name.into(), value: value.into() });
     }
 
-    /// Replaces all fields of this name by one.
+    /// Replaces all fields of this name with one field at the end.
     pub fn set(&mut self, name: &str, value: impl Into<Bytes>) {
         self.remove(name);
         self.add(Bytes::copy_from_slice(name.as_bytes()), value);
@@ -53,7 +53,7 @@
         self.list.iter().find(named).map(|field| &field.value)
     }
 
-    /// The value of the first field of this name, as text.
+    /// The value of the first field of this name, if it is valid UTF-8.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name).and_then(|value| std::str::from_utf8(value).ok())
     }
@@ -76,7 +76,7 @@
         self.list.iter()
     }
 
-    /// Removes fields that concern one connection only, those named by `Connection` included.
+    /// Removes hop-by-hop fields, including those named by `Connection`, and `Content-Length`.
     pub fn remove_connection_fields(&mut self) {
         let named: Vec<String> = self
             .all("connection")
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of messages.
+//! Heads of requests and responses.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use bytes::{BufMut, Bytes, BytesMut};
@@ -11,7 +11,7 @@
 pub struct RequestHead {
     /// Method.
     pub method: Bytes,
-    /// Path and query, as written.
+    /// Request target (path and query), as received.
     pub target: Bytes,
     /// Minor version: 0 or 1.
     pub minor_version: u8,
@@ -30,7 +30,7 @@
     pub fields: Fields,
 }
 
-/// True when the sender keeps the connection after this message.
+/// True when the sender keeps the connection open after this message.
 fn keeps_connection(minor_version: u8, fields: &Fields) -> bool {
     if fields.lists_token("connection", "close") {
         return false;
@@ -45,19 +45,19 @@
         target.split('?').next().unwrap_or_default()
     }
 
-    /// The host that the request names, without a port, in lower case.
+    /// The host in the `Host` field, without a port, in lower case.
     pub fn host(&self) -> Option<String> {
         let host = self.fields.text("host")?;
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         Some(name.to_ascii_lowercase())
     }
 
-    /// True when the client keeps the connection after the answer.
+    /// True when the client keeps the connection open after the response.
     pub fn keeps_connection(&self) -> bool {
         keeps_connection(self.minor_version, &self.fields)
     }
 
-    /// Writes the head; `length` tells how the body follows.
+    /// Writes the head; `length` determines the framing of the body.
     pub fn write(&self, length: BodyLength, out: &mut BytesMut) {
         out.put_slice(&self.method);
         out.put_u8(b' ');
@@ -69,24 +69,24 @@
 }
 
 impl ResponseHead {
-    /// True when the server keeps the connection after the answer.
+    /// True when the server keeps the connection open after the response.
     pub fn keeps_connection(&self) -> bool {
         keeps_connection(self.minor_version, &self.fields)
     }
 
-    /// Writes the head; `length` tells how the body follows, `keep` whether the
-    /// connection stays.
-    pub fn write(&self, length: BodyLength, keep: bool, out: &mut BytesMut) {
+    /// Writes the head; `length` determines the framing of the body. Without `keep_alive` the connection
+    /// is announced to close.
+    pub fn write(&self, length: BodyLength, keep_alive: bool, out: &mut BytesMut) {
         out.put_slice(format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status)).as_bytes());
-        if !keep {
+        if !keep_alive {
             out.put_slice(b"Connection: close\r\n");
         }
-        let may_have_body = self.status >= 200 && self.status != 204 && self.status != 304;
-        write_fields(&self.fields, length, may_have_body && length == BodyLength::None, out);
+        let allows_body = self.status >= 200 && self.status != 204 && self.status != 304;
+        write_fields(&self.fields, length, allows_body && length == BodyLength::None, out);
     }
 }
 
-fn write_fields(fields: &Fields, length: BodyLength, name_zero: bool, out: &mut BytesMut) {
+fn write_fields(fields: &Fields, length: BodyLength, write_zero_length: bool, out: &mut BytesMut) {
     for field in fields.iter() {
         out.put_slice(&field.name);
         out.put_slice(b": ");
@@ -94,7 +94,7 @@
         out.put_slice(b"\r\n");
     }
     match length {
-        BodyLength::None if name_zero => out.put_slice(b"Content-Length: 0\r\n"),
+        BodyLength::None if write_zero_length => out.put_slice(b"Content-Length: 0\r\n"),
         BodyLength::None | BodyLength::UntilClose => {}
         BodyLength::Known(length) => out.put_slice(format!("Content-Length: {length}\r\n").as_bytes()),
         BodyLength::Chunked => out.put_slice(b"Transfer-Encoding: chunked\r\n"),
@@ -112,12 +112,12 @@
     out.put_slice(b"\r\n");
 }
 
-/// Writes the end of a chunked body.
+/// Writes the last chunk, which ends a chunked body.
 pub fn write_last_chunk(out: &mut BytesMut) {
     out.put_slice(b"0\r\n\r\n");
 }
 
-/// The usual phrase of a status.
+/// The reason phrase of a status code.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,15 +1,15 @@
 //! HTTP/1.1 message framing over [`httparse`], as `tokio-util` codecs.
 //!
-//! `hyper` serves one request of a connection at a time and gives up an exchange whose
-//! answer does not come first. A sidecar has to read pipelined requests ahead and to read
-//! past a surplus answer to the one that belongs to its request, so it frames messages
-//! itself. Parsing is `httparse`'s, which `hyper` uses too.
+//! `hyper` serves one request of a connection at a time and fails an exchange whose response is not
+//! the next message on the connection. A sidecar has to read pipelined requests ahead, and to skip
+//! surplus responses until the one that belongs to its request, so it needs framing of its own.
+//! Parsing is done by `httparse`, which `hyper` uses too.
 //!
-//! - [`fields`]: header fields, and which of them concern one connection only.
-//! - [`head`]: request and response heads, and how they are written.
-//! - [`body`]: where a body ends.
+//! - [`fields`]: header fields, and which of them are hop-by-hop.
+//! - [`head`]: request and response heads, and their serialization.
+//! - [`body`]: length of a message body.
 //! - [`decode`]: decoders of requests and responses.
-//! - [`error`]: why bytes are no message.
+//! - [`error`]: errors of the decoders.
 
 pub mod body;
 pub mod decode;
--- a/crates/http1/tests/framing.rs
+++ b/crates/http1/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Requests and responses read from bytes, whole and in pieces.
+//! Decoding of requests and responses that arrive at once or in pieces.
 
 use bytes::BytesMut;
 use olivegate_http1::{BodyLength, DecodeError, Frame, RequestDecoder, ResponseDecoder};
@@ -6,8 +6,8 @@
 use rstest::rstest;
 use tokio_util::codec::Decoder;
 
-/// All frames of `bytes`, which arrive in pieces of `piece` bytes, with the connection's
-/// end behind them.
+/// All frames of `bytes`, which arrive in pieces of `piece` bytes and are followed by the end of the
+/// connection.
 fn frames<D: Decoder<Error = DecodeError>>(
     mut decoder: D,
     bytes: &[u8],
@@ -42,20 +42,20 @@
 #[rstest]
 #[case::two_lengths("POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab")]
 #[case::length_and_chunks("POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")]
-#[case::odd_coding("POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n")]
+#[case::unsupported_coding("POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n")]
 #[case::signed_length("POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\na")]
 #[case::chunk_without_end("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n")]
 #[case::blank_in_name("GET / HTTP/1.1\r\nHost : a\r\n\r\n")]
-fn a_request_that_could_be_read_in_two_ways_is_refused(#[case] text: &str) {
+fn an_ambiguous_request_is_rejected(#[case] text: &str) {
     assert!(matches!(requests(text.as_bytes()), Err(DecodeError::Malformed(_))));
 }
 
 #[rstest]
-fn limits_of_head_and_body_hold() {
+fn limits_of_head_and_body_are_enforced() {
     let long_head = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(2000));
     assert!(matches!(requests(long_head.as_bytes()), Err(DecodeError::HeadTooLarge)));
-    let announced = "POST / HTTP/1.1\r\nContent-Length: 2000\r\n\r\n";
-    assert!(matches!(requests(announced.as_bytes()), Err(DecodeError::BodyTooLarge)));
+    let declared = "POST / HTTP/1.1\r\nContent-Length: 2000\r\n\r\n";
+    assert!(matches!(requests(declared.as_bytes()), Err(DecodeError::BodyTooLarge)));
     let chunked =
         format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7d0\r\n{}\r\n0\r\n\r\n", "a".repeat(2000));
     assert!(matches!(requests(chunked.as_bytes()), Err(DecodeError::BodyTooLarge)));
@@ -76,7 +76,7 @@
 }
 
 #[rstest]
-fn an_answer_without_length_ends_with_the_connection() {
+fn a_response_without_length_ends_with_the_connection() {
     let text = b"HTTP/1.1 200 OK\r\nX: 1\r\n\r\nabc";
     let frames = frames(ResponseDecoder::new(1024), text, 5).unwrap();
     assert_eq!(body_of(&frames), b"abc");
@@ -88,20 +88,20 @@
 #[case::with_length("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc")]
 #[case::in_chunks("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")]
 #[case::inside_the_head("HTTP/1.1 200 OK\r\nContent-")]
-fn an_answer_that_breaks_off_is_incomplete(#[case] text: &str) {
+fn a_truncated_response_is_incomplete(#[case] text: &str) {
     let result = frames(ResponseDecoder::new(1024), text.as_bytes(), 7);
     assert!(matches!(result, Err(DecodeError::Incomplete)));
 }
 
 #[rstest]
-fn bytes_that_are_no_answer_fail_at_once() {
+fn bytes_that_cannot_start_a_response_fail_at_once() {
     let mut decoder = ResponseDecoder::new(1024);
     let mut buffer = BytesMut::from(&b"\x00\x01\x02"[..]);
     assert!(matches!(decoder.decode(&mut buffer), Err(DecodeError::Malformed(_))));
 }
 
 #[rstest]
-fn interim_answers_are_skipped() {
+fn interim_responses_are_skipped() {
     let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n";
     let frames = frames(ResponseDecoder::new(1024), text, text.len()).unwrap();
     assert!(matches!(&frames[0], Frame::Head(head, BodyLength::None) if head.status == 204));
@@ -109,7 +109,7 @@
 
 proptest! {
     #[test]
-    fn pieces_of_any_size_give_the_same_body(body in proptest::collection::vec(any::<u8>(), 0..300), piece in 1_usize..40, chunk in 1_usize..50) {
+    fn the_body_does_not_depend_on_the_size_of_pieces(body in proptest::collection::vec(any::<u8>(), 0..300), piece in 1_usize..40, chunk in 1_usize..50) {
         let mut text = b"POST /x HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         for part in body.chunks(chunk) {
             text.extend_from_slice(format!("{:x}\r\n", part.len()).as_bytes());
@@ -123,7 +123,7 @@
     }
 
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200), piece in 1_usize..40) {
+    fn arbitrary_bytes_do_not_cause_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200), piece in 1_usize..40) {
         let _ = frames(RequestDecoder::new(128, 128), &bytes, piece);
         let _ = frames(ResponseDecoder::new(128), &bytes, piece);
     }
