--- a/crates/olivegate/src/bundle_command.rs
+++ b/crates/olivegate/src/bundle_command.rs
@@ -1,4 +1,4 @@
-//! `bundle check`, `sign`, `diff` and `key`.
+//! Commands `bundle check`, `bundle sign`, `bundle diff` and `bundle key`.
 
 use std::path::Path;
 
@@ -8,31 +8,31 @@
 
 use crate::error::CommandError;
 
-fn mistakes(file: &Path, text: impl ToString) -> CommandError {
-    CommandError::Mistakes(file.to_path_buf(), text.to_string())
+fn invalid_file(file: &Path, text: impl ToString) -> CommandError {
+    CommandError::InvalidFile(file.to_path_buf(), text.to_string())
 }
 
 fn read_bytes(file: &Path) -> Result<Vec<u8>, CommandError> {
     std::fs::read(file).map_err(|error| CommandError::Read(file.to_path_buf(), error))
 }
 
-/// Reads a bundle in TOML or signed form.
+/// Reads a bundle in TOML or signed form and checks it.
 fn read_bundle(file: &Path) -> Result<Bundle, CommandError> {
     let bytes = read_bytes(file)?;
     if let Ok(text) = std::str::from_utf8(&bytes) {
-        return bundle_from_toml(text).map_err(|error| mistakes(file, error));
+        return bundle_from_toml(text).map_err(|error| invalid_file(file, error));
     }
-    let signed = SignedBundle::from_bytes(&bytes).map_err(|error| mistakes(file, error))?;
-    check_bundle(&signed.bundle).map_err(|error| mistakes(file, error))?;
+    let signed = SignedBundle::from_bytes(&bytes).map_err(|error| invalid_file(file, error))?;
+    check_bundle(&signed.bundle).map_err(|error| invalid_file(file, error))?;
     Ok(signed.bundle)
 }
 
 fn read_key(file: &Path) -> Result<SigningKeyPair, CommandError> {
     let text = String::from_utf8_lossy(&read_bytes(file)?).into_owned();
-    SigningKeyPair::from_hex(&text).map_err(|error| mistakes(file, error))
+    SigningKeyPair::from_hex(&text).map_err(|error| invalid_file(file, error))
 }
 
-/// Checks a bundle.
+/// Checks a bundle file; prints its version and how many groups, services and kinds it has.
 pub fn check(file: &Path) -> Result<(), CommandError> {
     let bundle = read_bundle(file)?;
     println!("ok deployment={} version={}", bundle.deployment, bundle.stamp());
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-/// Signs a bundle; a signed file of the same version keeps its other signatures.
+/// Signs a bundle. If `out` already holds the same bundle, signatures by other keys are kept.
 pub fn sign(file: &Path, key: &Path, out: &Path) -> Result<(), CommandError> {
     let bundle = read_bundle(file)?;
     let signature = read_key(key)?.sign(&bundle);
--- a/crates/olivegate/src/command.rs
+++ b/crates/olivegate/src/command.rs
@@ -1,4 +1,4 @@
-//! Which command was asked for.
+//! Parsing of the command line.
 
 use std::ffi::OsString;
 use std::fmt;
@@ -47,7 +47,7 @@
   0 done, 1 failed, 2 the command line can't be understood
 ";
 
-/// A checked command line.
+/// A parsed command line.
 #[derive(Debug)]
 pub enum Command {
     /// Print help.
@@ -58,19 +58,19 @@
     Node {
         /// Settings file.
         settings: PathBuf,
-        /// Flags that go before the file.
+        /// Flags that take precedence over the settings file.
         overrides: Overrides,
         /// Least severe level that is logged.
         log_level: LevelFilter,
     },
-    /// Tell the story of a request.
+    /// Print the log lines about a request.
     LogsExplain {
-        /// The request.
+        /// Id of the request, or digest of a content.
         request: String,
         /// Log files of nodes.
         files: Vec<PathBuf>,
     },
-    /// Count refusals and failures.
+    /// Count refusals and failures in logs.
     LogsSummary {
         /// Log files of nodes.
         files: Vec<PathBuf>,
@@ -87,7 +87,7 @@
         /// The file.
         file: PathBuf,
     },
-    /// Check a settings file.
+    /// Check a node's settings file.
     SettingsCheck {
         /// The file.
         file: PathBuf,
@@ -99,11 +99,11 @@
     },
     /// Sign a bundle.
     BundleSign {
-        /// TOML form.
+        /// Bundle in TOML or signed form.
         file: PathBuf,
-        /// Secret key.
+        /// File of the secret key.
         key: PathBuf,
-        /// Signed form.
+        /// Signed bundle to write.
         out: PathBuf,
     },
     /// Compare two bundles.
@@ -115,7 +115,7 @@
     },
     /// Print a public key.
     BundleKey {
-        /// Secret key.
+        /// File of the secret key.
         key: PathBuf,
     },
     /// Print a node's status.
@@ -123,23 +123,23 @@
         /// Admin address.
         admin: SocketAddr,
     },
-    /// Explain a request.
+    /// Print what the nodes decided about a request.
     Explain {
-        /// The request.
+        /// Id of the request.
         request: String,
         /// Admin address.
         admin: SocketAddr,
     },
 }
 
-/// A command line that can't be understood.
+/// Why a command line can't be parsed.
 #[derive(Debug)]
 pub enum UsageError {
-    /// Flags or values are wrong.
+    /// A flag or value is missing or invalid.
     Arguments(pico_args::Error),
-    /// There is no such command.
+    /// No command, or an unknown one.
     UnknownCommand(String),
-    /// Something was left over.
+    /// Arguments remain after the command.
     Unexpected(Vec<OsString>),
 }
 
@@ -163,7 +163,7 @@
 }
 
 impl Command {
-    /// Reads arguments, the program's name left out.
+    /// Parses the arguments after the program's name.
     pub fn parse(arguments: Vec<OsString>) -> Result<Self, UsageError> {
         let mut arguments = Arguments::from_vec(arguments);
         if arguments.contains("--help") {
@@ -172,23 +172,23 @@
         if arguments.contains("--version") {
             return Ok(Command::Version);
         }
-        let command = read(&mut arguments)?;
+        let command = parse_command(&mut arguments)?;
         let rest = arguments.finish();
         if rest.is_empty() { Ok(command) } else { Err(UsageError::Unexpected(rest)) }
     }
 }
 
-fn read(arguments: &mut Arguments) -> Result<Command, UsageError> {
+fn parse_command(arguments: &mut Arguments) -> Result<Command, UsageError> {
     let name = arguments.subcommand()?.unwrap_or_default();
     match name.as_str() {
-        "node" => read_node(arguments),
-        "sidecar" => read_sidecar(arguments),
-        "logs" => read_logs(arguments),
+        "node" => parse_node(arguments),
+        "sidecar" => parse_sidecar(arguments),
+        "logs" => parse_logs(arguments),
         "settings" => match subcommand(arguments)?.as_str() {
             "check" => Ok(Command::SettingsCheck { file: arguments.free_from_str()? }),
             other => Err(UsageError::UnknownCommand(format!("settings {other}"))),
         },
-        "bundle" => read_bundle(arguments),
+        "bundle" => parse_bundle(arguments),
         "status" => Ok(Command::Status { admin: arguments.value_from_str("--admin")? }),
         "explain" => {
             let admin = arguments.value_from_str("--admin")?;
@@ -202,7 +202,7 @@
     Ok(arguments.subcommand()?.unwrap_or_default())
 }
 
-fn read_node(arguments: &mut Arguments) -> Result<Command, UsageError> {
+fn parse_node(arguments: &mut Arguments) -> Result<Command, UsageError> {
     Ok(Command::Node {
         settings: arguments.value_from_str("--settings")?,
         overrides: Overrides {
@@ -218,7 +218,7 @@
     })
 }
 
-fn read_sidecar(arguments: &mut Arguments) -> Result<Command, UsageError> {
+fn parse_sidecar(arguments: &mut Arguments) -> Result<Command, UsageError> {
     match subcommand(arguments)?.as_str() {
         "check" => Ok(Command::SidecarCheck { file: arguments.free_from_str()? }),
         "" => Ok(Command::Sidecar {
@@ -229,7 +229,7 @@
     }
 }
 
-fn read_logs(arguments: &mut Arguments) -> Result<Command, UsageError> {
+fn parse_logs(arguments: &mut Arguments) -> Result<Command, UsageError> {
     let command = subcommand(arguments)?;
     let request = match command.as_str() {
         "explain" => Some(arguments.free_from_str()?),
@@ -246,7 +246,7 @@
     })
 }
 
-fn read_bundle(arguments: &mut Arguments) -> Result<Command, UsageError> {
+fn parse_bundle(arguments: &mut Arguments) -> Result<Command, UsageError> {
     match subcommand(arguments)?.as_str() {
         "check" => Ok(Command::BundleCheck { file: arguments.free_from_str()? }),
         "sign" => {
--- a/crates/olivegate/src/error.rs
+++ b/crates/olivegate/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the command layer.
+//! Errors of commands.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -10,15 +10,15 @@
     Read(PathBuf, std::io::Error),
     /// A file can't be written.
     Write(PathBuf, std::io::Error),
-    /// A file has mistakes; the text names each.
-    Mistakes(PathBuf, String),
+    /// A file is invalid; the text names every error, one a line.
+    InvalidFile(PathBuf, String),
     /// The node failed.
     Node(String),
-    /// The admin port gave no usable answer.
+    /// The admin port could not be queried or returned an error, or the request id is invalid.
     Admin(String),
-    /// No log line is about this request.
+    /// No log line mentions this request or content.
     NotInLogs(String),
-    /// Calls in flight were cut off by a stop.
+    /// Calls in flight were cut off after the stop timeout.
     CutOff,
 }
 
@@ -31,8 +31,8 @@
             CommandError::Write(file, error) => {
                 write!(formatter, "file={} cannot be written: {error}", file.display())
             }
-            CommandError::Mistakes(file, mistakes) => {
-                let lines = mistakes.lines().map(|line| format!("file={} {line}", file.display()));
+            CommandError::InvalidFile(file, errors) => {
+                let lines = errors.lines().map(|line| format!("file={} {line}", file.display()));
                 formatter.write_str(&lines.collect::<Vec<_>>().join("\n"))
             }
             CommandError::Node(reason) => write!(formatter, "node failed: {reason}"),
--- a/crates/olivegate/src/lib.rs
+++ b/crates/olivegate/src/lib.rs
@@ -1,10 +1,10 @@
-//! The `olivegate` command as a library, so that other programs can run a node of their own.
+//! The `olivegate` command as a library, so that other programs can run its commands in their process.
 //!
-//! - [`command`]: which command was asked for; usage errors.
+//! - [`command`]: parsing of the command line; usage errors.
 //! - [`node_command`]: `node` and `settings check`.
 //! - [`sidecar_command`]: `sidecar` and `sidecar check`.
 //! - [`logs_command`]: `logs explain` and `logs summary`.
-//! - [`log_output`]: log lines to standard output without waiting for its reader.
+//! - [`log_output`]: non-blocking output of log lines.
 //! - [`bundle_command`]: `bundle check`, `sign`, `diff` and `key`.
 //! - [`operator_command`]: `status` and `explain`.
 
@@ -23,12 +23,12 @@
 use crate::command::Command;
 pub use crate::error::CommandError;
 
-/// Exit code of a command that failed.
+/// Exit code when a command fails.
 const FAILED: u8 = 1;
-/// Exit code of a command line that can't be understood.
+/// Exit code when the command line can't be parsed.
 const USAGE: u8 = 2;
 
-/// Runs the command with these arguments, the program's name left out.
+/// Runs the command given by the arguments after the program's name.
 pub fn run(arguments: Vec<OsString>) -> ExitCode {
     let command = match Command::parse(arguments) {
         Ok(command) => command,
--- a/crates/olivegate/src/log_output.rs
+++ b/crates/olivegate/src/log_output.rs
@@ -1,7 +1,7 @@
-//! Log lines to standard output without ever waiting for its reader.
+//! Output of log lines that never blocks the threads that log.
 //!
-//! Lines go through a bounded queue to a thread that writes them. When the queue is full,
-//! because nobody reads standard output for example, lines are dropped and counted.
+//! A writer thread takes lines from a bounded queue. When the queue is full, for example because
+//! nothing reads standard output, lines are dropped and counted.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -9,24 +9,24 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::Duration;
 
-/// Lines that may wait to be written.
-const QUEUED_LINES: usize = 2_048;
+/// Capacity of the queue, in lines.
+const QUEUE_CAPACITY: usize = 2_048;
 
-/// Most lines that are written at once.
-const BATCH_LINES: usize = 256;
+/// Maximum number of further messages that are written together with the first one.
+const MAX_BATCH: usize = 256;
 
-/// Longest time that a flush waits for the writing thread.
-const FLUSH_LIMIT: Duration = Duration::from_millis(200);
+/// Maximum time that a flush waits for the writer thread.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the writing thread is told.
+/// A message to the writer thread.
 enum Message {
     /// A line to write.
     Line(Vec<u8>),
-    /// Answer when all lines before this have been written.
+    /// Confirm that all lines queued before this message have been written.
     Flush(SyncSender<()>),
 }
 
-/// Takes whole lines and hands them to the writing thread.
+/// A [`Write`] implementation that queues complete lines for the writer thread.
 pub struct QueuedOutput {
     line: Vec<u8>,
     queue: SyncSender<Message>,
@@ -34,16 +34,16 @@
 }
 
 impl QueuedOutput {
-    /// An output whose lines are written to `destination` by a thread of their own.
+    /// Starts a writer thread for `destination`.
     pub fn new(destination: impl Write + Send + 'static) -> Self {
-        let (queue, lines) = sync_channel(QUEUED_LINES);
+        let (queue, lines) = sync_channel(QUEUE_CAPACITY);
         let dropped = Arc::new(AtomicU64::new(0));
         let counted = dropped.clone();
         std::thread::spawn(move || write_lines(destination, &lines, &counted));
         QueuedOutput { line: Vec::new(), queue, dropped }
     }
 
-    /// Lines dropped and not told yet.
+    /// Number of dropped lines that have not been reported in the output yet.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -53,20 +53,20 @@
     while let Ok(first) = messages.recv() {
         let mut batch = Vec::new();
         let mut flushes = Vec::new();
-        for message in std::iter::once(first).chain(messages.try_iter().take(BATCH_LINES)) {
+        for message in std::iter::once(first).chain(messages.try_iter().take(MAX_BATCH)) {
             match message {
                 Message::Line(line) => batch.extend_from_slice(&line),
                 Message::Flush(written) => flushes.push(written),
             }
         }
-        let missing = dropped.swap(0, Ordering::Relaxed);
-        if missing > 0 {
-            batch.extend_from_slice(format!("event=log_lines_dropped count={missing}\n").as_bytes());
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
+            batch.extend_from_slice(format!("event=log_lines_dropped count={dropped_lines}\n").as_bytes());
         }
-        // Where standard output is gone there is nobody left to tell.
+        // If standard output is closed, there is nowhere left to report the error.
         let _ = destination.write_all(&batch).and_then(|()| destination.flush());
         for written in flushes {
-            // Whoever asked may have stopped waiting.
+            // The flush may have timed out already.
             let _ = written.try_send(());
         }
     }
@@ -84,12 +84,12 @@
         Ok(bytes.len())
     }
 
-    /// Waits until all lines have been written, but not for long.
+    /// Waits until all queued lines have been written, for at most `FLUSH_TIMEOUT`.
     fn flush(&mut self) -> std::io::Result<()> {
         let (written, wait) = sync_channel(1);
         if self.queue.try_send(Message::Flush(written)).is_ok() {
-            // Too slow a reader is not waited for.
-            let _ = wait.recv_timeout(FLUSH_LIMIT);
+            // A timeout is ignored: a slow reader must not hold up the process.
+            let _ = wait.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
--- a/crates/olivegate/src/logs_command.rs
+++ b/crates/olivegate/src/logs_command.rs
@@ -1,29 +1,30 @@
-//! `logs explain` and `logs summary`: the story of a request, and causes over time, from the
-//! log lines of many nodes.
+//! Commands `logs explain` and `logs summary`: all log lines about a request, and counts of refusals
+//! and failures over time, from the logs of many nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
 use crate::error::CommandError;
 
-/// Events that end a request at its edge without an instance's answer.
+/// Event of a request that its edge answers itself, without an instance's response.
 const OWN_ANSWER: &str = "own_answer";
-/// Events of attempts and exchanges that failed, and of refused offers.
-const SUMMARIZED: [&str; 4] = [OWN_ANSWER, "attempt_failed", "exchange_failed", "offer_refused"];
+/// Events that the summary counts: responses of the edge itself, failed attempts and exchanges, and
+/// refused offers.
+const SUMMARY_EVENTS: [&str; 4] = [OWN_ANSWER, "attempt_failed", "exchange_failed", "offer_refused"];
 
-/// Values of the field `content` that name none.
-const NO_CONTENT: [&str; 2] = ["none", "streamed"];
-/// Beginning of the events that tell what is held against a content.
-const CONTENT_EVENTS: &str = "content_";
+/// Values of the field `content` that are not a digest.
+const NO_DIGEST: [&str; 2] = ["none", "streamed"];
+/// Prefix of the events about contents that are suspected of ending instances.
+const CONTENT_EVENT_PREFIX: &str = "content_";
 
 /// One log line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogLine {
-    /// Time as it was written, by the clock of its node.
+    /// Timestamp in the line, by the clock of its node.
     pub time: String,
-    /// Which file it is from.
+    /// Name of its file, without directory and extension.
     pub source: String,
-    /// The line itself, without its time.
+    /// The line from its `event=` field on.
     pub text: String,
 }
 
@@ -35,57 +36,60 @@
     }
 }
 
-/// The lines of one file, in their order. Lines without a time take that of the line before.
+/// Parses the event lines of one file, in their order. A line without a timestamp gets that of the
+/// line before.
 pub fn parse(source: &str, content: &str) -> Vec<LogLine> {
     let mut time = String::new();
     let mut lines = Vec::new();
     for line in content.lines() {
         let Some(event) = line.find("event=") else { continue };
-        if let Some(written) =
+        if let Some(timestamp) =
             line[..event].split_whitespace().find(|word| word.contains('T') && word.ends_with('Z'))
         {
-            time = written.to_string();
+            time = timestamp.to_string();
         }
         lines.push(LogLine { time: time.clone(), source: source.to_string(), text: line[event..].to_string() });
     }
     lines
 }
 
-/// Merges the lines of many files by time, each file's own order kept: a clock that steps
-/// back does not turn a node's story around.
+/// Merges the lines of many files by time. The order within each file is kept, so that a node's lines
+/// are not reordered when its clock steps back.
 pub fn merge(files: Vec<Vec<LogLine>>) -> Vec<LogLine> {
-    let mut waiting: Vec<_> = files.into_iter().map(|lines| lines.into_iter().peekable()).collect();
+    let mut remaining: Vec<_> = files.into_iter().map(|lines| lines.into_iter().peekable()).collect();
     let mut merged = Vec::new();
     loop {
-        let heads =
-            waiting.iter_mut().enumerate().filter_map(|(index, lines)| Some((lines.peek()?.time.clone(), index)));
+        let heads = remaining
+            .iter_mut()
+            .enumerate()
+            .filter_map(|(index, lines)| Some((lines.peek()?.time.clone(), index)));
         let Some((_, earliest)) = heads.min() else { return merged };
-        merged.extend(waiting[earliest].next());
+        merged.extend(remaining[earliest].next());
     }
 }
 
-/// The lines about the request with this id, or about the content with this digest, in order. With
-/// a request come the lines that tell what is held against its content.
-pub fn story(lines: &[LogLine], subject: &str) -> Vec<LogLine> {
-    let is_subject = |line: &&LogLine| [line.field("request"), line.field("content")].contains(&Some(subject));
+/// The lines about the request with this id, or about the content with this digest, in order. For a
+/// request they include the events about its content as a suspect.
+pub fn lines_about(lines: &[LogLine], subject: &str) -> Vec<LogLine> {
+    let names_subject = |line: &&LogLine| [line.field("request"), line.field("content")].contains(&Some(subject));
     let contents: BTreeSet<&str> = lines
         .iter()
         .filter(|line| line.field("request") == Some(subject))
         .filter_map(|line| line.field("content"))
-        .filter(|content| !NO_CONTENT.contains(content))
+        .filter(|content| !NO_DIGEST.contains(content))
         .collect();
-    let is_of_content = |line: &LogLine| {
-        let is_event = line.field("event").is_some_and(|event| event.starts_with(CONTENT_EVENTS));
-        is_event && line.field("content").is_some_and(|content| contents.contains(content))
+    let is_about_content = |line: &LogLine| {
+        let is_content_event = line.field("event").is_some_and(|event| event.starts_with(CONTENT_EVENT_PREFIX));
+        is_content_event && line.field("content").is_some_and(|content| contents.contains(content))
     };
-    lines.iter().filter(|line| is_subject(line) || is_of_content(line)).cloned().collect()
+    lines.iter().filter(|line| names_subject(line) || is_about_content(line)).cloned().collect()
 }
 
 /// Counts of refusals and failures by second, event, route and reason.
 pub fn summary(lines: &[LogLine]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for line in lines {
-        let Some(event) = line.field("event").filter(|event| SUMMARIZED.contains(event)) else { continue };
+        let Some(event) = line.field("event").filter(|event| SUMMARY_EVENTS.contains(event)) else { continue };
         let second = line.time.split('.').next().unwrap_or_default().trim_end_matches('Z');
         let route = line.field("route").unwrap_or("none");
         let reason = line.field("reason").unwrap_or("none");
@@ -104,9 +108,9 @@
     Ok(merge(parsed))
 }
 
-/// Prints the story of a request.
+/// Prints all log lines about a request or a content.
 pub fn explain(request: &str, files: &[PathBuf]) -> Result<(), CommandError> {
-    let found = story(&read_all(files)?, request);
+    let found = lines_about(&read_all(files)?, request);
     if found.is_empty() {
         return Err(CommandError::NotInLogs(request.to_string()));
     }
@@ -116,7 +120,7 @@
     Ok(())
 }
 
-/// Prints refusals and failures by second and cause.
+/// Prints the counts of refusals and failures by second and cause.
 pub fn print_summary(files: &[PathBuf]) -> Result<(), CommandError> {
     for (cause, count) in summary(&read_all(files)?) {
         println!("{count:6} {cause}");
--- a/crates/olivegate/src/node_command.rs
+++ b/crates/olivegate/src/node_command.rs
@@ -1,4 +1,4 @@
-//! `node` and `settings check`.
+//! Commands `node` and `settings check`.
 
 use std::path::Path;
 
@@ -13,10 +13,10 @@
 fn read_settings(file: &Path, overrides: &Overrides) -> Result<NodeSettings, CommandError> {
     let text = std::fs::read_to_string(file).map_err(|error| CommandError::Read(file.to_path_buf(), error))?;
     NodeSettings::from_toml(&text, overrides)
-        .map_err(|mistakes| CommandError::Mistakes(file.to_path_buf(), mistakes.to_string()))
+        .map_err(|errors| CommandError::InvalidFile(file.to_path_buf(), errors.to_string()))
 }
 
-/// Checks a settings file.
+/// Checks a node's settings file.
 pub fn check(file: &Path) -> Result<(), CommandError> {
     let settings = read_settings(file, &Overrides::default())?;
     println!("ok node={} zone={} deployment={}", settings.node, settings.zone, settings.deployment);
--- a/crates/olivegate/src/operator_command.rs
+++ b/crates/olivegate/src/operator_command.rs
@@ -1,4 +1,4 @@
-//! `status` and `explain`: ask a node's admin port.
+//! Commands `status` and `explain`, which query a node's admin port.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 
 use crate::error::CommandError;
 
-/// Largest answer, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
-/// Time limit for an answer.
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Time limit of a query.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Prints a node's status.
@@ -28,10 +28,10 @@
 fn print_page(admin: SocketAddr, path: &str) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|error| CommandError::Admin(error.to_string()))?;
-    let fetched = runtime.block_on(fetch::get(admin, path, MAX_ANSWER, TIMEOUT));
-    let fetched = fetched.map_err(|_| CommandError::Admin(format!("no answer from {admin}")))?;
-    let text = String::from_utf8_lossy(&fetched.body);
-    if fetched.status != 200 {
+    let response = runtime.block_on(fetch::get(admin, path, MAX_RESPONSE_BYTES, TIMEOUT));
+    let response = response.map_err(|_| CommandError::Admin(format!("no answer from {admin}")))?;
+    let text = String::from_utf8_lossy(&response.body);
+    if response.status != 200 {
         return Err(CommandError::Admin(text.trim().to_string()));
     }
     println!("{}", text.trim_end());
--- a/crates/olivegate/src/sidecar_command.rs
+++ b/crates/olivegate/src/sidecar_command.rs
@@ -1,4 +1,4 @@
-//! `sidecar` and `sidecar check`.
+//! Commands `sidecar` and `sidecar check`.
 
 use std::path::Path;
 
@@ -14,10 +14,10 @@
 fn read_settings(file: &Path) -> Result<SidecarSettings, CommandError> {
     let text = std::fs::read_to_string(file).map_err(|error| CommandError::Read(file.to_path_buf(), error))?;
     SidecarSettings::from_toml(&text)
-        .map_err(|mistakes| CommandError::Mistakes(file.to_path_buf(), mistakes.to_string()))
+        .map_err(|errors| CommandError::InvalidFile(file.to_path_buf(), errors.to_string()))
 }
 
-/// Checks a settings file.
+/// Checks a sidecar's settings file.
 pub fn check(file: &Path) -> Result<(), CommandError> {
     let settings = read_settings(file)?;
     println!("ok node={} zone={} service={}", settings.node, settings.zone, settings.service);
@@ -36,16 +36,16 @@
     }
 }
 
-/// Runs a sidecar until it is told to stop.
+/// Runs a sidecar until SIGTERM or SIGINT.
 pub fn run(file: &Path, level: LevelFilter) -> Result<(), CommandError> {
     let settings = read_settings(file)?;
     start_logging(level);
     let source = PlatformStore::new(settings.source);
     let path = file.to_path_buf();
-    let read_again = Box::new(move || read_settings(&path).map_err(|error| error.to_string()));
-    let ended = SidecarApp::new(settings, WIRE_NAMES, source, read_again).run();
+    let reload_settings = Box::new(move || read_settings(&path).map_err(|error| error.to_string()));
+    let outcome = SidecarApp::new(settings, WIRE_NAMES, source, reload_settings).run();
     log::logger().flush();
-    match ended {
+    match outcome {
         Ok(StopOutcome::Drained) => Ok(()),
         Ok(StopOutcome::CutOff) => Err(CommandError::CutOff),
         Err(error) => Err(CommandError::Node(error.to_string())),
--- a/crates/olivegate/tests/command.rs
+++ b/crates/olivegate/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, help, checks that name every mistake.
+//! The command line: exit codes, help, and checks that report every error in a file.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -29,10 +29,10 @@
 #[case::left_over(&["settings", "check", "a", "b"], 2)]
 #[case::sidecar_without_settings(&["sidecar"], 2)]
 #[case::sidecar_settings_missing(&["sidecar", "check", "no-such-file.toml"], 1)]
-#[case::logs_of_nothing(&["logs", "explain", "r1"], 2)]
+#[case::logs_without_files(&["logs", "explain", "r1"], 2)]
 #[case::logs_missing(&["logs", "summary", "no-such-file.log"], 1)]
 #[case::missing_file(&["settings", "check", "no-such-file.toml"], 1)]
-#[case::nobody_answers(&["status", "--admin", "127.0.0.1:1"], 1)]
+#[case::admin_port_unreachable(&["status", "--admin", "127.0.0.1:1"], 1)]
 #[case::bad_request_id(&["explain", "xyz", "--admin", "127.0.0.1:1"], 1)]
 fn exit_codes(#[case] arguments: &[&str], #[case] code: i32) {
     assert_eq!(run(arguments).status.code(), Some(code));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_keys_in_the_shipped_settings_are_those_they_say() {
+fn the_public_keys_in_the_shipped_settings_match_their_signing_keys() {
     let settings = std::fs::read_to_string(example("cuenca/node.toml")).unwrap();
     for byte in ["01", "02", "03"] {
         let key = file(&format!("example-key-{byte}"), &byte.repeat(32));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_bad_bundle_names_file_field_value_and_reason_of_every_mistake() {
+fn every_error_in_a_bundle_names_its_file_field_and_value() {
     let path = file("bad-bundle.toml", "deployment = \"a b\"\nversion = 0\nshade = 1\n[limits]\nmax_hops = 99\n");
     let output = run(&["bundle", "check", path.to_str().unwrap()]);
     let errors = text(&output.stderr);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn bundles_are_signed_by_one_operator_after_the_other_and_compared() {
+fn bundles_are_signed_by_several_operators_and_compared() {
     let [first, second] = [("key-1", "11"), ("key-2", "22")].map(|(name, byte)| file(name, &byte.repeat(32)));
     let out = Path::new(env!("CARGO_TARGET_TMPDIR")).join("signed.bundle");
     let _ = std::fs::remove_file(&out);
--- a/crates/olivegate/tests/logs.rs
+++ b/crates/olivegate/tests/logs.rs
@@ -1,11 +1,11 @@
-//! Logs: written without waiting for a reader, read again as the story of a request.
+//! Non-blocking log output, and the commands that read logs.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use olivegate::log_output::QueuedOutput;
-use olivegate::logs_command::{merge, parse, story, summary};
+use olivegate::logs_command::{lines_about, merge, parse, summary};
 use rstest::rstest;
 
 const EDGE: &str = "\
@@ -19,15 +19,15 @@
 ";
 
 #[rstest]
-fn a_story_keeps_each_nodes_order_also_when_its_clock_steps_back() {
+fn merged_lines_keep_each_nodes_order_when_its_clock_steps_back() {
     let lines = merge(vec![parse("edge", EDGE), parse("gate", GATE)]);
     let events: Vec<String> =
-        story(&lines, "r1").iter().map(|line| line.field("event").unwrap().to_string()).collect();
+        lines_about(&lines, "r1").iter().map(|line| line.field("event").unwrap().to_string()).collect();
     assert_eq!(events, ["offered", "own_answer", "offer_refused"]);
-    assert!(story(&lines, "r9").is_empty());
+    assert!(lines_about(&lines, "r9").is_empty());
 }
 
-const HELD: &str = "\
+const SUSPECTED: &str = "\
 2026-01-01T10:00:01.000Z [INFO] event=content_suspected content=ab12 route=books caller=desk instance=i-1 ends=1 age_ms=0 held=false
 2026-01-01T10:00:01.100Z [INFO] event=content_suspected content=cd34 route=books caller=desk instance=i-1 ends=1 age_ms=0 held=false
 2026-01-01T10:00:02.000Z [INFO] event=content_told content=ab12 ends=2 age_ms=1000 held=true
@@ -37,12 +37,15 @@
 ";
 
 #[rstest]
-#[case::a_request_and_what_is_held_against_it("r7", &["content_suspected", "content_told", "request_held"])]
+#[case::a_request_and_its_content("r7", &["content_suspected", "content_told", "request_held"])]
 #[case::a_content("ab12", &["content_suspected", "content_told", "request_held", "request_held"])]
-#[case::nothing_is_held("r9", &["exchange_failed"])]
-fn a_story_names_what_is_held_against_a_request(#[case] subject: &str, #[case] expected: &[&str]) {
-    let lines = parse("gate", HELD);
-    let found = story(&lines, subject);
+#[case::a_request_without_content("r9", &["exchange_failed"])]
+fn lines_about_a_request_include_events_of_its_suspected_content(
+    #[case] subject: &str,
+    #[case] expected: &[&str],
+) {
+    let lines = parse("gate", SUSPECTED);
+    let found = lines_about(&lines, subject);
     let events: Vec<&str> = found.iter().filter_map(|line| line.field("event")).collect();
     assert_eq!(events, expected);
 }
@@ -58,14 +61,14 @@
     assert_eq!(counts, expected);
 }
 
-/// A destination that takes nothing until it is told to.
+/// A destination whose writes block while `gate` is locked.
 #[derive(Clone, Default)]
-struct Stuck {
+struct BlockingDestination {
     gate: Arc<Mutex<()>>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockingDestination {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         drop(self.gate.lock().unwrap());
         self.written.lock().unwrap().extend_from_slice(bytes);
@@ -78,47 +81,47 @@
 }
 
 #[rstest]
-fn what_was_logged_last_is_written_before_the_end() {
-    let destination = Stuck::default();
+fn a_flush_waits_until_the_last_line_is_written() {
+    let destination = BlockingDestination::default();
     let mut output = QueuedOutput::new(destination.clone());
     writeln!(output, "event=stopped").unwrap();
     output.flush().unwrap();
     assert_eq!(destination.written.lock().unwrap().as_slice(), b"event=stopped\n");
 }
 
-/// Lines written to a destination that takes none.
+/// Lines logged while the destination is blocked.
 const LINES: u64 = 50_000;
 
 #[rstest]
-fn a_reader_that_is_stuck_holds_nobody_up_and_learns_what_it_missed() {
-    let destination = Stuck::default();
-    let stuck = destination.gate.lock().unwrap();
+fn a_blocked_reader_does_not_block_logging_and_lost_lines_are_reported() {
+    let destination = BlockingDestination::default();
+    let blocked = destination.gate.lock().unwrap();
     let mut output = QueuedOutput::new(destination.clone());
-    let began = Instant::now();
+    let started = Instant::now();
     for number in 0..LINES {
         writeln!(output, "event=line number={number}").unwrap();
     }
-    assert!(began.elapsed() < Duration::from_secs(5), "took {:?}", began.elapsed());
-    drop(stuck);
-    // Some of the loss may have been counted for the batch that was stuck: all of it is told in the end,
-    // and each line is either written or counted.
+    assert!(started.elapsed() < Duration::from_secs(5), "took {:?}", started.elapsed());
+    drop(blocked);
+    // The batch that was blocked may already report some of the dropped lines. In the end each line is
+    // either written or reported as dropped.
     loop {
         let (written, missing) = written_and_missing(&destination);
         if written + missing == LINES {
             assert!(missing > 40_000, "{missing} lines missing");
             return;
         }
-        assert!(began.elapsed() < Duration::from_secs(20), "{written} written, {missing} told to be missing");
-        // What was dropped while the queue was full is told with the next line.
+        assert!(started.elapsed() < Duration::from_secs(20), "{written} written, {missing} reported missing");
+        // Dropped lines are reported only together with the next line that is written.
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Lines that were written, and those that are told to be missing.
-fn written_and_missing(destination: &Stuck) -> (u64, u64) {
+/// Numbers of lines that were written and that were reported as dropped.
+fn written_and_missing(destination: &BlockingDestination) -> (u64, u64) {
     let text = String::from_utf8_lossy(&destination.written.lock().unwrap()).into_owned();
-    let told = text.lines().filter_map(|line| line.strip_prefix("event=log_lines_dropped count="));
-    let missing = told.filter_map(|count| count.parse::<u64>().ok()).sum();
+    let reports = text.lines().filter_map(|line| line.strip_prefix("event=log_lines_dropped count="));
+    let missing = reports.filter_map(|count| count.parse::<u64>().ok()).sum();
     let written = text.lines().filter(|line| line.starts_with("event=line ")).count() as u64;
     (written, missing)
 }
--- a/crates/olivegate/tests/sidecar.rs
+++ b/crates/olivegate/tests/sidecar.rs
@@ -1,4 +1,4 @@
-//! A sidecar as a process of its own: start, reload by signal and without, planned stop.
+//! The sidecar as a process: start, reload by signal and by file change, graceful stop.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,16 +17,16 @@
 use tokio::task::LocalSet;
 
 const IP: &str = "127.78.1.1";
-/// Another machine, whose instance takes requests and never answers.
+/// Address of another machine, whose instance accepts connections and never responds.
 const SILENT_IP: &str = "127.78.1.2";
-/// Requests whose clients leave: log lines are written for one in 32.
-const LEAVING_CLIENTS: usize = 400;
+/// Number of requests whose clients disconnect; a cancellation is logged for one in 32.
+const DISCONNECTING_CLIENTS: usize = 400;
 
 fn settings(service: &str) -> String {
-    settings_of(IP, service, &format!("{IP}:18409"))
+    settings_for(IP, service, &format!("{IP}:18409"))
 }
 
-fn settings_of(ip: &str, service: &str, source: &str) -> String {
+fn settings_for(ip: &str, service: &str, source: &str) -> String {
     format!(
         "node = \"sidecar-1\"\nzone = \"north\"\nservice = \"{service}\"\ninstance = \"{ip}:18401\"\n\
          [listen]\noutbound = \"{ip}:18404\"\ninbound = \"{ip}:18400\"\nreadiness = \"{ip}:18402\"\n\
@@ -34,8 +34,8 @@
     )
 }
 
-/// A store on a thread of its own that lists one instance and routes everything to it.
-fn store_with(instance: Instance) -> SocketAddr {
+/// Starts a store in its own thread. It lists one instance and routes all requests to it.
+fn start_store(instance: Instance) -> SocketAddr {
     let (sender, address) = channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -96,9 +96,9 @@
     }
 
     fn wait_for(&self, event: &str) -> String {
-        let until = Instant::now() + Duration::from_secs(15);
+        let deadline = Instant::now() + Duration::from_secs(15);
         loop {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let line = self.lines.recv_timeout(left).unwrap_or_else(|_| panic!("never logged: {event}"));
             if line.contains(event) {
                 return line;
@@ -109,7 +109,7 @@
 
 impl Drop for Sidecar {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.process.kill();
     }
 }
@@ -118,9 +118,9 @@
     let mut stream = TcpStream::connect(format!("{ip}:18402")).unwrap();
     let path = olivegate_platform::WIRE_NAMES.readiness_path;
     write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    response
 }
 
 #[rstest]
@@ -145,10 +145,10 @@
 }
 
 #[rstest]
-fn clients_that_leave_are_told_in_the_log() {
+fn requests_of_clients_that_disconnect_are_logged_as_cancelled() {
     let address: SocketAddr = format!("{SILENT_IP}:18401").parse().unwrap();
     let _silent = TcpListener::bind(address).unwrap();
-    let store = store_with(Instance {
+    let store = start_store(Instance {
         name: InstanceName::new("i-1"),
         incarnation: Incarnation::UNKNOWN,
         service: ServiceName::new("books"),
@@ -158,7 +158,7 @@
         state: InstanceState::Ready,
     });
     let file: PathBuf = Path::new(env!("CARGO_TARGET_TMPDIR")).join("sidecar-silent.toml");
-    std::fs::write(&file, settings_of(SILENT_IP, "books", &store.to_string())).unwrap();
+    std::fs::write(&file, settings_for(SILENT_IP, "books", &store.to_string())).unwrap();
     let sidecar = Sidecar::start(&file);
     sidecar.wait_for("event=directory_changed");
     while !readiness(SILENT_IP).starts_with("HTTP/1.1 200") {
@@ -166,7 +166,7 @@
     }
     let wire_names = olivegate_platform::WIRE_NAMES;
     let (id, time) = (wire_names.request_id, wire_names.time_left_ms);
-    for number in 0..LEAVING_CLIENTS {
+    for number in 0..DISCONNECTING_CLIENTS {
         let mut client = TcpStream::connect(format!("{SILENT_IP}:18404")).unwrap();
         write!(client, "GET / HTTP/1.1\r\nHost: shop\r\n{id}: r{number}\r\n{time}: 9000\r\n\r\n").unwrap();
         std::thread::sleep(Duration::from_millis(2));
