--- a/crates/claims/src/claim_round.rs
+++ b/crates/claims/src/claim_round.rs
@@ -4,16 +4,16 @@
 use crate::message::{Claimant, SeatIndex, Vote, VoteResult};
 use crate::vector::IncarnationVector;
 
-/// What a round of votes says so far.
+/// Outcome of a round of votes so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// More votes are needed.
     Pending,
     /// A consistent majority granted the claim: the request may be dispatched.
     Granted,
-    /// Another claimant holds the key on some seat.
+    /// No majority can be reached, and on some seat another claimant holds the key.
     Held(Option<Claimant>),
-    /// No majority can be reached in this round.
+    /// No majority can be reached in this round, though no seat reports another holder.
     Unavailable,
 }
 
@@ -23,22 +23,22 @@
     seats: usize,
     known: IncarnationVector,
     granted: Vec<(SeatIndex, IncarnationVector)>,
-    answered: Vec<SeatIndex>,
+    settled: Vec<SeatIndex>,
     held_by: Option<Option<Claimant>>,
 }
 
 impl ClaimRound {
-    /// A round among the seats of `known`, the incarnations known so far.
+    /// Starts a round among the seats of `known`, the incarnations known so far.
     pub fn new(known: IncarnationVector) -> Self {
-        ClaimRound { seats: known.len(), known, granted: Vec::new(), answered: Vec::new(), held_by: None }
+        ClaimRound { seats: known.len(), known, granted: Vec::new(), settled: Vec::new(), held_by: None }
     }
 
-    /// Notes a vote.
+    /// Records a vote. Later votes of the same seat and vectors of another length are ignored.
     pub fn on_vote(&mut self, vote: Vote) {
-        if self.answered.contains(&vote.seat) || vote.vector.len() != self.seats {
+        if self.settled.contains(&vote.seat) || vote.vector.len() != self.seats {
             return;
         }
-        self.answered.push(vote.seat);
+        self.settled.push(vote.seat);
         self.known.merge(&vote.vector);
         match vote.result {
             VoteResult::Granted => self.granted.push((vote.seat, vote.vector)),
@@ -47,26 +47,26 @@
         }
     }
 
-    /// Notes that a seat can't be reached.
+    /// Records that a seat can't be reached.
     pub fn on_unreachable(&mut self, seat: SeatIndex) {
-        if !self.answered.contains(&seat) {
-            self.answered.push(seat);
+        if !self.settled.contains(&seat) {
+            self.settled.push(seat);
         }
     }
 
-    /// Votes that count: given in the latest known incarnation of their seat.
+    /// Number of grants that count: those given in the latest known incarnation of their seat.
     fn consistent_grants(&self) -> usize {
         let counts = |(seat, vector): &&(SeatIndex, IncarnationVector)| vector.get(*seat) == self.known.get(*seat);
         self.granted.iter().filter(counts).count()
     }
 
-    /// What the votes say.
+    /// Outcome of the votes so far.
     pub fn outcome(&self) -> ClaimOutcome {
         if self.consistent_grants() >= majority(self.seats) {
             return ClaimOutcome::Granted;
         }
-        let open = self.seats.saturating_sub(self.answered.len());
-        if self.consistent_grants() + open >= majority(self.seats) {
+        let outstanding = self.seats.saturating_sub(self.settled.len());
+        if self.consistent_grants() + outstanding >= majority(self.seats) {
             return ClaimOutcome::Pending;
         }
         match &self.held_by {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Incarnations known after the votes.
+    /// Incarnations known so far, those learnt from the votes included.
     pub fn known(&self) -> &IncarnationVector {
         &self.known
     }
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,16 +1,20 @@
 //! At-most-once claims, held in memory by a group of seats.
 //!
-//! Before a request that may not be repeated is dispatched, its edge takes a
-//! write-once claim on the caller's key from a majority of the seats. Seats have no
-//! disks: a seat that lost its memory, or moved to another node, gets a new
-//! incarnation, votes only after a majority of the other seats has recorded that
-//! incarnation and handed over its claims, and from then on no vote of an earlier
-//! incarnation counts together with theirs (crash-consistent quorums by vectors of
-//! incarnations). docs/DESIGN.md gives the argument; the tests fuzz it.
+//! A seat is a voting replica that runs on one of the nodes. Before an edge dispatches a
+//! request that may not run twice, it takes a write-once claim on the caller's idempotency
+//! key from a majority of the seats.
 //!
-//! - [`seat`]: one seat.
-//! - [`claim_round`]: counts votes for one claim.
-//! - [`response_cache`]: answers kept for repeats.
+//! Seats don't write to disk. A seat that lost its memory, or moved to another node, gets a
+//! new incarnation. It votes only after a majority of the group, itself not counted, has
+//! recorded that incarnation and handed over its claims. From then on no vote of an earlier
+//! incarnation counts together with votes of those seats: crash-consistent quorums by
+//! vectors of incarnations. docs/DESIGN.md gives the argument; the tests fuzz it.
+//!
+//! - [`seat`]: state and recovery of one seat.
+//! - [`claim_round`]: counts the votes on one claim.
+//! - [`response_cache`]: responses for retries with a claimed key.
+//! - [`vector`]: incarnations of seats.
+//! - [`message`]: messages between claimants and seats.
 
 pub mod claim_round;
 pub mod message;
--- a/crates/claims/src/message.rs
+++ b/crates/claims/src/message.rs
@@ -7,33 +7,33 @@
 
 use crate::vector::IncarnationVector;
 
-/// Position of a seat in the group, from 0.
+/// Index of a seat in the group, from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct SeatIndex(pub u8);
 
-/// Digest of group, kind and idempotency key.
+/// Digest of the caller's group, the kind of request and the idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct ClaimKey(pub Digest);
 
-/// One attempt to run the request of a key: unique, never reused.
+/// One attempt to run the request of a key. Unique and never reused.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct Claimant {
-    /// Edge node that would dispatch the request; holds the answer afterwards.
+    /// Edge node that will dispatch the request and then cache its response.
     pub node: NodeName,
-    /// The root request.
+    /// Id of the root request.
     pub request: RequestId,
 }
 
-/// Asks a seat for its vote.
+/// Asks a seat for its vote on a claim.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Claim {
-    /// What is claimed.
+    /// Key that is claimed.
     pub key: ClaimKey,
-    /// By whom.
+    /// Who claims it.
     pub claimant: Claimant,
-    /// Time to remember it, in milliseconds.
+    /// Time for which the seat remembers the claim, in milliseconds.
     pub memory_ms: u32,
-    /// Incarnations that the claimant knows.
+    /// Incarnations known to the claimant.
     pub known: IncarnationVector,
 }
 
@@ -47,15 +47,15 @@
 /// A seat's answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Vote {
-    /// The seat.
+    /// Seat that votes.
     pub seat: SeatIndex,
-    /// Incarnations known to the seat at the vote, its own included.
+    /// Incarnations known to the seat at the time of the vote, its own included.
     pub vector: IncarnationVector,
-    /// The vote.
+    /// Result of the vote.
     pub result: VoteResult,
 }
 
-/// Content of a vote.
+/// Result of a vote.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum VoteResult {
     /// The claim is recorded for this claimant.
@@ -66,34 +66,34 @@
     NotVoting,
 }
 
-/// A claim as handed over to a recovering seat.
+/// A claim as it is handed over to a recovering seat.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ClaimRecord {
-    /// The key.
+    /// Key that is claimed.
     pub key: ClaimKey,
-    /// Its holder; `None` when seats disagreed.
+    /// Holder of the key; `None` when seats disagreed on which.
     pub claimant: Option<Claimant>,
-    /// Time for which it is still remembered, in milliseconds.
+    /// Time until the claim expires, in milliseconds.
     pub remaining_ms: u32,
 }
 
-/// A seat's answer to another seat's new incarnation.
+/// A seat's reply to the announcement of another seat's new incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RecoveryReply {
-    /// The incarnation is recorded; these are all claims the seat remembers.
+    /// The incarnation is recorded, and all claims that the seat remembers are handed over.
     Recorded {
-        /// The answering seat.
+        /// Seat that replies.
         seat: SeatIndex,
         /// Incarnations known to it, its own included.
         vector: IncarnationVector,
-        /// Its claims.
+        /// Claims that have not expired.
         claims: Vec<ClaimRecord>,
     },
-    /// A later incarnation is known already.
+    /// A later incarnation of the announced seat is known already.
     Superseded {
-        /// Incarnations known to the answering seat.
+        /// Incarnations known to the seat that replies.
         vector: IncarnationVector,
     },
-    /// The seat is recovering itself and its memory is not complete yet.
+    /// The seat can't hand over claims: its own memory is not complete.
     NotReady,
 }
--- a/crates/claims/src/response_cache.rs
+++ b/crates/claims/src/response_cache.rs
@@ -1,4 +1,4 @@
-//! Answers kept by the edge that ran a request, for repeats of the same key.
+//! Responses cached by the edge that ran a request, for retries with the same idempotency key.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,55 +8,56 @@
 
 use crate::message::ClaimKey;
 
-/// Largest kept body, in bytes.
+/// Maximum size of a cached body, in bytes.
 pub const MAX_CACHED_BODY: usize = 64 << 10;
-/// Most kept answers.
-const MAX_ANSWERS: usize = 4096;
+/// Maximum number of cached responses.
+const MAX_RESPONSES: usize = 4096;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CachedResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type, empty when there was none.
+    /// Value of `content-type`; empty when the response had none.
     pub content_type: String,
-    /// Whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-/// Bounded answers by key.
+/// Bounded cache of responses by claim key.
 #[derive(Debug, Default)]
 pub struct ResponseCache {
-    answers: HashMap<ClaimKey, (CachedResponse, Moment)>,
-    order: VecDeque<ClaimKey>,
+    responses: HashMap<ClaimKey, (CachedResponse, Moment)>,
+    insertion_order: VecDeque<ClaimKey>,
 }
 
 impl ResponseCache {
-    /// Keeps a whole answer for `memory`.
-    pub fn insert(&mut self, key: ClaimKey, answer: CachedResponse, memory: Duration, now: Moment) {
-        if answer.body.len() > MAX_CACHED_BODY {
+    /// Caches a response for `retention`. Responses with a body over [`MAX_CACHED_BODY`] are not
+    /// cached.
+    pub fn insert(&mut self, key: ClaimKey, response: CachedResponse, retention: Duration, now: Moment) {
+        if response.body.len() > MAX_CACHED_BODY {
             return;
         }
-        if self.answers.insert(key, (answer, now + memory)).is_none() {
-            self.order.push_back(key);
+        if self.responses.insert(key, (response, now + retention)).is_none() {
+            self.insertion_order.push_back(key);
         }
-        self.drop_old(now);
+        self.evict(now);
     }
 
-    fn drop_old(&mut self, now: Moment) {
-        while let Some(oldest) = self.order.front() {
-            let expired = self.answers.get(oldest).is_none_or(|(_, until)| *until <= now);
-            if !expired && self.order.len() <= MAX_ANSWERS {
+    fn evict(&mut self, now: Moment) {
+        while let Some(oldest) = self.insertion_order.front() {
+            let expired = self.responses.get(oldest).is_none_or(|(_, until)| *until <= now);
+            if !expired && self.insertion_order.len() <= MAX_RESPONSES {
                 return;
             }
-            self.answers.remove(oldest);
-            self.order.pop_front();
+            self.responses.remove(oldest);
+            self.insertion_order.pop_front();
         }
     }
 
-    /// The answer of `key`, if it is still held.
+    /// The response cached for `key`, unless it expired or was evicted.
     pub fn get(&self, key: &ClaimKey, now: Moment) -> Option<CachedResponse> {
-        let (answer, until) = self.answers.get(key)?;
-        (*until > now).then(|| answer.clone())
+        let (response, until) = self.responses.get(key)?;
+        (*until > now).then(|| response.clone())
     }
 }
--- a/crates/claims/src/seat.rs
+++ b/crates/claims/src/seat.rs
@@ -1,4 +1,4 @@
-//! One seat: votes on claims, hands over to recovering seats, recovers itself.
+//! One seat: votes on claims, hands claims over to recovering seats and recovers its own.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,21 +12,21 @@
 /// State of a seat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SeatMode {
-    /// Collecting claims from the other seats; doesn't vote.
+    /// Collects claims from the other seats; doesn't vote.
     Recovering,
     /// Votes.
     Voting,
-    /// A later incarnation took over; never votes again.
+    /// Replaced by a later incarnation; never votes again.
     Retired,
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct StoredClaim {
     claimant: Option<Claimant>,
     expires: Moment,
 }
 
-/// A seat in one incarnation.
+/// One incarnation of a seat.
 #[derive(Debug)]
 pub struct Seat {
     index: SeatIndex,
@@ -36,12 +36,12 @@
     started: Moment,
     claim_memory: Duration,
     new_deployment: bool,
-    claims: HashMap<ClaimKey, Held>,
+    claims: HashMap<ClaimKey, StoredClaim>,
     replies: HashMap<SeatIndex, (IncarnationVector, Vec<ClaimRecord>)>,
 }
 
 impl Seat {
-    /// A seat of a group of `seats`, in a new incarnation, recovering.
+    /// Creates a new incarnation of a seat in a group of `seats`. It starts in recovery.
     ///
     /// `claim_memory` is the longest time for which any claim is remembered.
     /// `new_deployment` states that no request was ever served before, so that an
@@ -69,32 +69,33 @@
         }
     }
 
-    /// Position in the group.
+    /// Index in the group.
     pub fn index(&self) -> SeatIndex {
         self.index
     }
 
-    /// State.
+    /// Current state.
     pub fn mode(&self) -> SeatMode {
         self.mode
     }
 
-    /// This life of the seat.
+    /// Incarnation of this seat.
     pub fn incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
 
-    /// Incarnations known to the seat.
+    /// Incarnations known to this seat, its own included.
     pub fn vector(&self) -> &IncarnationVector {
         &self.vector
     }
 
-    /// Number of claims remembered.
+    /// Number of remembered claims.
     pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    fn learn(&mut self, vector: &IncarnationVector) {
+    /// Merges known incarnations. Retires this seat when one of them replaces it.
+    fn merge_vector(&mut self, vector: &IncarnationVector) {
         self.vector.merge(vector);
         if self.vector.get(self.index) > Some(&self.incarnation) {
             self.mode = SeatMode::Retired;
@@ -102,36 +103,37 @@
         }
     }
 
-    /// Votes on a claim. The first claimant of a key gets it for the claim's memory time.
+    /// Votes on a claim. The first claimant of a key holds it until the claim expires.
     pub fn on_claim(&mut self, claim: &Claim, now: Moment) -> Vote {
-        self.learn(&claim.known);
+        self.merge_vector(&claim.known);
         let result = if self.mode == SeatMode::Voting { self.decide(claim, now) } else { VoteResult::NotVoting };
         Vote { seat: self.index, vector: self.vector.clone(), result }
     }
 
     fn decide(&mut self, claim: &Claim, now: Moment) -> VoteResult {
-        if let Some(held) = self.claims.get(&claim.key)
-            && held.expires > now
+        if let Some(stored) = self.claims.get(&claim.key)
+            && stored.expires > now
         {
-            return match &held.claimant {
+            return match &stored.claimant {
                 Some(holder) if *holder == claim.claimant => VoteResult::Granted,
                 holder => VoteResult::Held(holder.clone()),
             };
         }
         let expires = now + claim.memory().min(self.claim_memory);
-        self.claims.insert(claim.key, Held { claimant: Some(claim.claimant.clone()), expires });
+        self.claims.insert(claim.key, StoredClaim { claimant: Some(claim.claimant.clone()), expires });
         VoteResult::Granted
     }
 
-    /// Drops a claim whose claimant has not dispatched and never will.
+    /// Removes a claim whose claimant has not dispatched the request and never will.
     pub fn on_abandon(&mut self, key: ClaimKey, claimant: &Claimant) {
-        if self.claims.get(&key).is_some_and(|held| held.claimant.as_ref() == Some(claimant)) {
+        if self.claims.get(&key).is_some_and(|stored| stored.claimant.as_ref() == Some(claimant)) {
             self.claims.remove(&key);
         }
     }
 
-    /// True when the memory holds every claim that this seat position may have granted:
-    /// it votes, or it has lived longer than any claim is remembered.
+    /// True when this seat remembers every unexpired claim that it or an earlier incarnation may
+    /// have granted: it votes, the deployment is new, or it has run for longer than any claim is
+    /// remembered.
     fn has_complete_memory(&self, now: Moment) -> bool {
         match self.mode {
             SeatMode::Voting => true,
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Another seat announces its new incarnation and asks for the claims.
+    /// Handles the announcement of another seat's new incarnation, which asks for the claims.
     pub fn on_recover(&mut self, seat: SeatIndex, incarnation: &Incarnation, now: Moment) -> RecoveryReply {
         if !self.has_complete_memory(now) || seat == self.index {
             return RecoveryReply::NotReady;
@@ -149,37 +151,39 @@
             return RecoveryReply::Superseded { vector: self.vector.clone() };
         }
         self.vector.raise(seat, incarnation);
-        RecoveryReply::Recorded { seat: self.index, vector: self.vector.clone(), claims: self.records(now) }
+        RecoveryReply::Recorded { seat: self.index, vector: self.vector.clone(), claims: self.live_claims(now) }
     }
 
-    fn records(&self, now: Moment) -> Vec<ClaimRecord> {
-        let live = self.claims.iter().filter(|(_, held)| held.expires > now);
-        let record = |(key, held): (&ClaimKey, &Held)| ClaimRecord {
+    fn live_claims(&self, now: Moment) -> Vec<ClaimRecord> {
+        let live = self.claims.iter().filter(|(_, stored)| stored.expires > now);
+        let record = |(key, stored): (&ClaimKey, &StoredClaim)| ClaimRecord {
             key: *key,
-            claimant: held.claimant.clone(),
-            remaining_ms: held.expires.since(now).as_millis() as u32 + 1,
+            claimant: stored.claimant.clone(),
+            remaining_ms: stored.expires.since(now).as_millis() as u32 + 1,
         };
         live.map(record).collect()
     }
 
-    /// An answer to this seat's announcement; the seat votes once a majority of the
-    /// group, itself not counted, has recorded it and handed over.
+    /// Handles a reply to this seat's announcement. The seat votes once a majority of the
+    /// group, itself not counted, has recorded its incarnation and handed over claims.
     pub fn on_recovery_reply(&mut self, reply: RecoveryReply, now: Moment) {
         if self.mode != SeatMode::Recovering {
             return;
         }
         match reply {
             RecoveryReply::NotReady => {}
-            RecoveryReply::Superseded { vector } => self.learn(&vector),
+            RecoveryReply::Superseded { vector } => self.merge_vector(&vector),
             RecoveryReply::Recorded { seat, vector, claims } => {
-                self.learn(&vector);
+                self.merge_vector(&vector);
                 self.replies.insert(seat, (vector, claims));
-                self.try_to_vote(now);
+                self.try_finish_recovery(now);
             }
         }
     }
 
-    fn try_to_vote(&mut self, now: Moment) {
+    /// Starts voting when enough replies are in. Replies of seats that have been replaced since
+    /// are dropped.
+    fn try_finish_recovery(&mut self, now: Moment) {
         let vector = &self.vector;
         self.replies.retain(|seat, (theirs, _)| theirs.get(*seat) == vector.get(*seat));
         if self.mode != SeatMode::Recovering || self.replies.len() < majority(self.vector.len()) {
@@ -188,29 +192,31 @@
         let replies = std::mem::take(&mut self.replies);
         for (_, claims) in replies.into_values() {
             for record in claims {
-                self.take_over(record, now);
+                self.merge_claim(record, now);
             }
         }
         self.mode = SeatMode::Voting;
     }
 
-    fn take_over(&mut self, record: ClaimRecord, now: Moment) {
+    /// Merges a claim that was handed over. When seats disagree on the holder, the key stays
+    /// claimed without one.
+    fn merge_claim(&mut self, record: ClaimRecord, now: Moment) {
         let expires = now + Duration::from_millis(u64::from(record.remaining_ms));
         match self.claims.get_mut(&record.key) {
             None => {
-                self.claims.insert(record.key, Held { claimant: record.claimant, expires });
+                self.claims.insert(record.key, StoredClaim { claimant: record.claimant, expires });
             }
-            Some(held) => {
-                held.expires = held.expires.max(expires);
-                if held.claimant != record.claimant {
-                    held.claimant = None;
+            Some(stored) => {
+                stored.expires = stored.expires.max(expires);
+                if stored.claimant != record.claimant {
+                    stored.claimant = None;
                 }
             }
         }
     }
 
-    /// Forgets expired claims.
+    /// Removes expired claims.
     pub fn expire(&mut self, now: Moment) {
-        self.claims.retain(|_, held| held.expires > now);
+        self.claims.retain(|_, stored| stored.expires > now);
     }
 }
--- a/crates/claims/src/vector.rs
+++ b/crates/claims/src/vector.rs
@@ -5,12 +5,13 @@
 
 use crate::message::SeatIndex;
 
-/// One life of a seat's memory. Ordered by counter, then by holder.
+/// Identity of a seat's memory: a seat that loses its memory or moves to another node gets a new
+/// incarnation. Ordered by counter, then by holder.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct Incarnation {
-    /// Larger for a later life.
+    /// Higher for a later incarnation.
     pub counter: u64,
-    /// Node that holds the seat in this life.
+    /// Node that holds the seat in this incarnation.
     pub holder: NodeName,
 }
 
@@ -19,7 +20,7 @@
 pub struct IncarnationVector(Vec<Option<Incarnation>>);
 
 impl IncarnationVector {
-    /// A vector of `seats` seats that knows nothing.
+    /// A vector for `seats` seats without any known incarnation.
     pub fn unknown(seats: usize) -> Self {
         IncarnationVector(vec![None; seats])
     }
@@ -29,7 +30,7 @@
         self.0.len()
     }
 
-    /// True for a vector of no seats.
+    /// True for a vector without seats.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -39,7 +40,7 @@
         self.0.get(usize::from(seat.0)).and_then(Option::as_ref)
     }
 
-    /// Raises the entry of `seat`; lower incarnations change nothing.
+    /// Raises the entry of `seat` to `incarnation`, unless it is as high already.
     pub fn raise(&mut self, seat: SeatIndex, incarnation: &Incarnation) {
         if let Some(entry) = self.0.get_mut(usize::from(seat.0))
             && entry.as_ref() < Some(incarnation)
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Raises each entry to that of `other`. Vectors of another length are ignored.
+    /// Raises each entry to that of `other` where that is higher. A vector of another length is
+    /// ignored.
     pub fn merge(&mut self, other: &IncarnationVector) {
         if self.len() != other.len() {
             return;
--- a/crates/claims/tests/fuzz.rs
+++ b/crates/claims/tests/fuzz.rs
@@ -1,9 +1,9 @@
-//! Stateful fuzzing of claims: messages are delayed, reordered and lost, seats lose
-//! their memory or move while their old holder still votes. The oracle is simple: of
-//! one key, at most one claimant is ever granted while the claim is remembered.
+//! Stateful fuzzing of claims. Messages are delayed, reordered and lost; seats lose their
+//! memory, or move while their old holder still votes. The invariant: at most one claimant
+//! of a key is granted while the claim is remembered.
 //!
-//! Assumption built into the transitions (docs/DESIGN.md): of the three positions, one
-//! never has two live holders at once. Positions 0 and 1 may.
+//! The transitions assume (docs/DESIGN.md) that one of the three positions never has two
+//! live holders at once. Positions 0 and 1 may have two.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,19 +21,20 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A claimant asks one holder of each position.
+    /// A claimant sends a claim to one holder of each position.
     Claim { key: u8, holder_choice: u8 },
-    /// A claimant asks and gets the answers of the positions in `reach` at once.
+    /// A claimant sends a claim and gets the votes of the positions in `reach` at once.
     Exchange { key: u8, holder_choice: u8, reach: u8 },
-    /// The recovering holders get the answers of the positions in `reach` at once.
+    /// The recovering holders announce themselves and get the replies of the positions in `reach` at
+    /// once.
     Recover { holder_choice: u8, reach: u8 },
     /// A pending message is delivered.
     Deliver(u16),
     /// A pending message is lost.
     Lose(u16),
-    /// A holder loses its memory for good.
+    /// A holder crashes and its memory is lost.
     Crash { position: u8, holder: u8 },
-    /// A position gets another holder; its old one may go on voting.
+    /// A position gets a new holder while its old one may go on voting.
     Replace { position: u8 },
     /// The recovering holders announce themselves.
     Announce { holder_choice: u8 },
@@ -41,7 +42,7 @@
     Wait(u16),
 }
 
-/// The model has no state: each step is always possible.
+/// Model without state: each step is always possible.
 #[derive(Debug, Clone)]
 struct Model;
 
@@ -89,11 +90,11 @@
 
 struct System {
     now: Moment,
-    /// All seats ever; `None` once crashed.
+    /// All seats ever created; `None` once crashed.
     seats: Vec<Option<Seat>>,
     rounds: Vec<Round>,
     messages: Vec<Message>,
-    /// Grants by key: when the round started.
+    /// Start times of the granted rounds, by key.
     grants: HashMap<ClaimKey, Vec<Moment>>,
     next_counter: u64,
 }
@@ -206,9 +207,9 @@
         }
     }
 
-    /// Sends messages and delivers those to the positions in `reach`, and their answers,
-    /// at once; the others stay pending.
-    fn at_once(&mut self, reach: u8, send: impl FnOnce(&mut Self)) {
+    /// Sends messages and at once delivers those to the positions in `reach`, and the replies to
+    /// them. The other messages stay pending.
+    fn send_and_deliver(&mut self, reach: u8, send: impl FnOnce(&mut Self)) {
         let before = self.messages.len();
         send(self);
         let sent = self.messages.split_off(before);
@@ -228,7 +229,8 @@
         }
     }
 
-    /// A claimant uses a majority only within the time for which claims are remembered.
+    /// Counts a vote. A claimant uses a majority only within half of the time for which claims are
+    /// remembered.
     fn on_vote(&mut self, index: usize, vote: Vote) {
         let round = &mut self.rounds[index];
         round.votes.on_vote(vote);
@@ -270,8 +272,12 @@
     fn apply(mut system: System, (): &(), step: Step) -> System {
         match step {
             Step::Claim { key, holder_choice } => system.claim(key, holder_choice),
-            Step::Exchange { key, holder_choice, reach } => system.at_once(reach, |s| s.claim(key, holder_choice)),
-            Step::Recover { holder_choice, reach } => system.at_once(reach, |s| s.announce(holder_choice)),
+            Step::Exchange { key, holder_choice, reach } => {
+                system.send_and_deliver(reach, |s| s.claim(key, holder_choice))
+            }
+            Step::Recover { holder_choice, reach } => {
+                system.send_and_deliver(reach, |s| s.announce(holder_choice))
+            }
             Step::Deliver(choice) => system.deliver(choice),
             Step::Lose(choice) => {
                 if !system.messages.is_empty() {
@@ -287,7 +293,9 @@
         system
     }
 
-    /// Two grants of one key must lie further apart than a claim is remembered.
+    /// A second grant of a key needs votes from after the first claim expired, and a majority
+    /// is used within half of that time from the start of its round. So the granted rounds of a
+    /// key start at least half of that time apart.
     fn check_invariants(system: &System, (): &()) {
         for grants in system.grants.values() {
             let mut starts = grants.clone();
--- a/crates/claims/tests/seat.rs
+++ b/crates/claims/tests/seat.rs
@@ -1,4 +1,4 @@
-//! Seats by hand: write-once, hand-over, fencing, total loss.
+//! Single seats: write-once claims, hand-over, fencing of replaced holders, total loss of memory.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     }
 }
 
-fn verdict(claim: &Claim, seats: &mut [&mut Seat], now: Moment) -> ClaimOutcome {
+fn outcome(claim: &Claim, seats: &mut [&mut Seat], now: Moment) -> ClaimOutcome {
     let mut round = ClaimRound::new(claim.known.clone());
     for seat in seats {
         round.on_vote(seat.on_claim(claim, now));
@@ -60,45 +60,45 @@
 #[test]
 fn the_first_claimant_gets_the_key_and_the_second_learns_who_holds_it() {
     let [mut a, mut b, mut c] = group();
-    assert_eq!(verdict(&claim(1), &mut [&mut a, &mut b, &mut c], at(1)), ClaimOutcome::Granted);
-    let second = verdict(&claim(2), &mut [&mut a, &mut b, &mut c], at(2));
+    assert_eq!(outcome(&claim(1), &mut [&mut a, &mut b, &mut c], at(1)), ClaimOutcome::Granted);
+    let second = outcome(&claim(2), &mut [&mut a, &mut b, &mut c], at(2));
     assert_eq!(second, ClaimOutcome::Held(Some(claim(1).claimant)));
 }
 
 #[test]
 fn one_seat_is_no_majority() {
     let [mut a, _, _] = group();
-    assert_eq!(verdict(&claim(1), &mut [&mut a], at(1)), ClaimOutcome::Pending);
+    assert_eq!(outcome(&claim(1), &mut [&mut a], at(1)), ClaimOutcome::Pending);
 }
 
 #[test]
 fn a_restarted_seat_does_not_vote_before_the_others_handed_over() {
     let [mut a, mut b, c] = group();
     drop(c);
-    assert_eq!(verdict(&claim(1), &mut [&mut a, &mut b], at(1)), ClaimOutcome::Granted);
-    let mut again = seat(2, 2, false, at(2));
-    assert_eq!(again.on_claim(&claim(2), at(2)).result, VoteResult::NotVoting);
-    recover(&mut again, &mut [&mut a, &mut b], at(3));
-    assert_eq!(again.mode(), SeatMode::Voting);
-    assert_eq!(again.on_claim(&claim(2), at(4)).result, VoteResult::Held(Some(claim(1).claimant)));
+    assert_eq!(outcome(&claim(1), &mut [&mut a, &mut b], at(1)), ClaimOutcome::Granted);
+    let mut restarted = seat(2, 2, false, at(2));
+    assert_eq!(restarted.on_claim(&claim(2), at(2)).result, VoteResult::NotVoting);
+    recover(&mut restarted, &mut [&mut a, &mut b], at(3));
+    assert_eq!(restarted.mode(), SeatMode::Voting);
+    assert_eq!(restarted.on_claim(&claim(2), at(4)).result, VoteResult::Held(Some(claim(1).claimant)));
 }
 
 #[test]
-fn votes_of_a_replaced_holder_do_not_count_with_those_who_know() {
+fn votes_of_a_replaced_holder_do_not_count_once_its_successor_is_known() {
     let [mut a, mut b, mut c] = group();
     let mut successor = seat(0, 2, false, at(1));
     recover(&mut successor, &mut [&mut b, &mut c], at(1));
     assert_eq!(successor.mode(), SeatMode::Voting);
-    let old_holder = verdict(&claim(1), &mut [&mut a, &mut b], at(2));
+    let old_holder = outcome(&claim(1), &mut [&mut a, &mut b], at(2));
     assert_eq!(old_holder, ClaimOutcome::Pending);
-    let mut told = claim(3);
-    told.known = successor.vector().clone();
-    assert_eq!(a.on_claim(&told, at(3)).result, VoteResult::NotVoting);
+    let mut informed_claim = claim(3);
+    informed_claim.known = successor.vector().clone();
+    assert_eq!(a.on_claim(&informed_claim, at(3)).result, VoteResult::NotVoting);
     assert_eq!(a.mode(), SeatMode::Retired);
 }
 
 #[test]
-fn after_a_total_loss_nothing_is_granted_until_all_claims_have_expired() {
+fn after_a_total_loss_of_memory_nothing_is_granted_until_all_claims_have_expired() {
     let [mut a, mut b, mut c] = [0, 1, 2].map(|position| seat(position, 5, false, at(0)));
     recover(&mut a, &mut [&mut b, &mut c], at(999));
     assert_eq!(a.mode(), SeatMode::Recovering);
