--- a/crates/control/src/datagram.rs
+++ b/crates/control/src/datagram.rs
@@ -7,46 +7,47 @@
 
 use crate::error::ControlError;
 
-/// Largest datagram sent, in bytes; larger news is fetched by a control call.
+/// Maximum size of a datagram that is sent, in bytes. A larger bundle delta is announced by its
+/// version only, and receivers fetch the bundle with a control call.
 pub const MAX_DATAGRAM: usize = 1_400;
-/// First byte of each datagram.
+/// First byte of the sealed content of each datagram.
 const PROTOCOL_VERSION: u8 = 1;
 
 /// Content of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Datagram {
-    /// A message of the failure detector, with the bundle version in force at the sender.
+    /// A membership message, with the bundle version in force at the sender.
     Membership {
-        /// The message.
+        /// Membership message.
         message: Message,
-        /// The version.
+        /// Bundle version in force at the sender.
         bundle: Stamp,
     },
-    /// A new version that fits into a datagram.
+    /// A new bundle version, as a delta that fits into a datagram.
     Delta {
-        /// Sender, from whom the whole bundle can be fetched.
+        /// Sender, from which the whole bundle can be fetched.
         from: NodeName,
-        /// The version.
+        /// New version as a delta against its parent.
         delta: BundleDelta,
     },
-    /// A new version that has to be fetched.
+    /// A new bundle version that has to be fetched from the sender.
     Version {
-        /// Sender.
+        /// Sender, from which the bundle can be fetched.
         from: NodeName,
-        /// The version.
+        /// New version.
         stamp: Stamp,
     },
 }
 
 impl Datagram {
-    /// Sealed bytes.
+    /// Encodes the datagram and seals it with the deployment's key.
     pub fn to_bytes(&self, key: &DeploymentKey) -> Vec<u8> {
         let mut content = vec![PROTOCOL_VERSION];
         content.extend(borsh::to_vec(self).unwrap_or_default());
         key.seal(content)
     }
 
-    /// Reads sealed bytes.
+    /// Verifies the seal and decodes the datagram.
     pub fn from_bytes(bytes: &[u8], key: &DeploymentKey) -> Result<Self, ControlError> {
         let content = key.open(bytes).ok_or(ControlError::Authentication)?;
         match content.split_first() {
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,30 +1,30 @@
-//! Errors of the control layer.
+//! Errors of the control protocol.
 
 use std::fmt;
 
 /// Why a control call or datagram failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ControlError {
-    /// The peer can't be reached.
+    /// The connection to the peer could not be made.
     Connect,
-    /// The call broke off or timed out.
+    /// The call failed or timed out on a connection.
     Call,
     /// The bytes are not sealed with this deployment's key.
     Authentication,
-    /// The bytes have another shape or protocol version.
+    /// The content can't be decoded or has an unknown protocol version.
     Malformed,
-    /// Longer than allowed.
+    /// The message is over the maximum size.
     TooLong,
 }
 
 impl fmt::Display for ControlError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            ControlError::Connect => "peer cannot be reached",
-            ControlError::Call => "control call broke off or timed out",
-            ControlError::Authentication => "message was not sealed by a node of this deployment",
-            ControlError::Malformed => "message has an unknown shape or version",
-            ControlError::TooLong => "message is too long",
+            ControlError::Connect => "cannot connect to the peer",
+            ControlError::Call => "control call failed or timed out",
+            ControlError::Authentication => "message is not sealed with the key of this deployment",
+            ControlError::Malformed => "message is malformed or has an unknown protocol version",
+            ControlError::TooLong => "message exceeds the maximum size",
         })
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,12 @@
 //! Control protocol between the nodes of one deployment.
 //!
-//! - [`service`]: the calls, by tarpc, over TCP.
-//! - [`transport`]: borsh frames, length-limited and sealed with the deployment's key.
-//! - [`datagram`]: membership and bundle news over UDP, sealed the same way.
-//! - [`pool`]: one shared connection per peer.
+//! Messages are sealed: a tag made with the deployment's key authenticates them. They are not
+//! encrypted.
+//!
+//! - [`service`]: control calls, a tarpc service over TCP.
+//! - [`transport`]: borsh frames of limited length, sealed with the deployment's key.
+//! - [`datagram`]: membership messages and new bundle versions over UDP, sealed the same way.
+//! - [`pool`]: client connections, one shared per peer.
 
 pub mod datagram;
 pub mod error;
--- a/crates/control/src/pool.rs
+++ b/crates/control/src/pool.rs
@@ -1,4 +1,4 @@
-//! One shared connection per peer.
+//! Client connections for control calls, one shared per peer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 use crate::service::ControlClient;
 use crate::transport::client_transport;
 
-/// Time after which a connection attempt is given up.
+/// Time limit for a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Connections to peers, made when first needed and again after they broke.
+/// Pool of connections to peers. A connection is made on first use, and again after it failed.
 #[derive(Clone)]
 pub struct ControlPool {
     key: DeploymentKey,
@@ -25,17 +25,17 @@
 }
 
 impl ControlPool {
-    /// An empty pool.
+    /// Creates an empty pool whose connections use `key`.
     pub fn new(key: DeploymentKey) -> Self {
         ControlPool { key, clients: Arc::default() }
     }
 
-    fn held(&self, address: SocketAddr) -> Option<ControlClient> {
+    fn connected_client(&self, address: SocketAddr) -> Option<ControlClient> {
         self.clients.lock().ok()?.get(&address).cloned()
     }
 
     async fn client(&self, address: SocketAddr) -> Result<ControlClient, ControlError> {
-        if let Some(client) = self.held(address) {
+        if let Some(client) = self.connected_client(address) {
             return Ok(client);
         }
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
@@ -55,8 +55,8 @@
         Ok(new.client)
     }
 
-    /// Makes one call with a time limit. A broken connection is dropped from the pool
-    /// and the call is not repeated.
+    /// Makes one call with a time limit. On failure or timeout the connection is removed from the
+    /// pool; the call is not retried.
     pub async fn call<T, F>(
         &self,
         address: SocketAddr,
@@ -69,9 +69,9 @@
         let client = self.client(address).await?;
         let mut context = context::current();
         context.deadline = Instant::now() + timeout;
-        let answer = tokio::time::timeout(timeout, call(client, context)).await;
-        match answer {
-            Ok(Ok(answer)) => Ok(answer),
+        let result = tokio::time::timeout(timeout, call(client, context)).await;
+        match result {
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(_)) | Err(_) => {
                 self.drop_connection(address);
                 Err(ControlError::Call)
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls between nodes.
+//! Control calls between nodes.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_bundle::Stamp;
@@ -7,25 +7,25 @@
 use olivegate_membership::MemberRecord;
 use olivegate_types::RequestId;
 
-/// What one node asks of another.
+/// Calls that one node makes to another.
 #[tarpc::service(derive = [Clone, BorshSerialize, BorshDeserialize])]
 pub trait Control {
-    /// All members that the peer knows.
+    /// Returns the records of all members that the peer shares in a full sync.
     async fn members() -> Vec<MemberRecord>;
-    /// Takes one retry credit of a root request that the peer admitted.
+    /// Takes one retry from the budget of a root request that the peer admitted.
     async fn take_retry_credit(request: RequestId) -> bool;
-    /// Asks the seat held by the peer for its vote; `None` when it holds no such seat.
+    /// Asks a seat held by the peer for its vote on a claim; `None` when it doesn't hold that seat.
     async fn claim(seat: SeatIndex, claim: Claim) -> Option<Vote>;
-    /// Drops a claim that was not and will not be used.
+    /// Removes a claim whose request was not and will not be dispatched.
     async fn abandon(seat: SeatIndex, key: ClaimKey, claimant: Claimant) -> ();
     /// Announces a new incarnation of `recovering` to the seat held by the peer.
     async fn recover(seat: SeatIndex, recovering: SeatIndex, incarnation: Incarnation) -> RecoveryReply;
-    /// The answer that the peer keeps for a key.
+    /// Returns the response that the peer has cached for a claimed key.
     async fn cached_response(key: ClaimKey) -> Option<CachedResponse>;
-    /// The version in force at the peer.
+    /// Returns the bundle version in force at the peer.
     async fn bundle_stamp() -> Stamp;
-    /// The signed bundle in force at the peer, in binary form.
+    /// Returns the signed bundle in force at the peer, in binary form.
     async fn bundle() -> Option<Vec<u8>>;
-    /// What the peer decided about a request, one line each.
+    /// Returns the peer's decisions about a request, one line each.
     async fn explain(request: RequestId) -> Vec<String>;
 }
--- a/crates/control/src/transport.rs
+++ b/crates/control/src/transport.rs
@@ -1,4 +1,4 @@
-//! Frames of the control protocol: length, version, borsh content, tag.
+//! Frames of the control protocol: length, protocol version, borsh content, authentication tag.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -12,19 +12,20 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Longest frame, in bytes: all members of a large fleet, or a whole bundle.
+/// Maximum frame size, in bytes. It has to fit the records of all members of a large fleet, or a
+/// whole bundle.
 pub const MAX_FRAME: usize = 8 << 20;
-/// First byte of each frame.
+/// First byte of the sealed content of each frame.
 const PROTOCOL_VERSION: u8 = 1;
 
-/// A client's frame.
+/// Frame sent by a client.
 #[derive(BorshSerialize, BorshDeserialize)]
 enum ClientFrame<T> {
     Request { id: u64, remaining_us: u64, message: T },
     Cancel { id: u64 },
 }
 
-/// A server's frame.
+/// Frame sent by a server.
 #[derive(BorshSerialize, BorshDeserialize)]
 struct ServerFrame<T> {
     id: u64,
@@ -43,7 +44,8 @@
 
 fn decode<T: BorshDeserialize>(frame: io::Result<BytesMut>, key: &DeploymentKey) -> io::Result<T> {
     let frame = frame?;
-    let content = key.open(&frame).ok_or_else(|| invalid("frame is not sealed by this deployment"))?;
+    let content =
+        key.open(&frame).ok_or_else(|| invalid("frame is not sealed with the key of this deployment"))?;
     match content.split_first() {
         Some((&PROTOCOL_VERSION, body)) => borsh::from_slice(body),
         _ => Err(invalid("unknown protocol version")),
@@ -79,7 +81,7 @@
     }
 }
 
-/// The client's end of a connection.
+/// Transport of the client side of a connection.
 pub fn client_transport<Req, Resp>(
     stream: TcpStream,
     key: DeploymentKey,
@@ -99,7 +101,7 @@
     })
 }
 
-/// The server's end of a connection.
+/// Transport of the server side of a connection.
 pub fn server_transport<Req, Resp>(
     stream: TcpStream,
     key: DeploymentKey,
--- a/crates/control/tests/wire.rs
+++ b/crates/control/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Control messages: only those sealed by the same deployment are read.
+//! Control messages: only those sealed with the key of the same deployment are accepted.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_datagram_survives_its_bytes() {
+fn a_datagram_is_the_same_after_encoding_and_decoding() {
     assert_eq!(Datagram::from_bytes(&datagram().to_bytes(&key()), &key()), Ok(datagram()));
 }
 
@@ -35,7 +35,7 @@
     assert_eq!(Datagram::from_bytes(&bytes, &key()), Err(expected));
 }
 
-/// One frame from a client with `client_key` to a server; what the server reads.
+/// Sends one frame from a client with `client_key` to a server, and returns what the server reads.
 async fn first_frame(client_key: DeploymentKey) -> Result<String, std::io::Error> {
     use futures::{SinkExt, StreamExt};
     let listener = TcpListener::bind("127.0.0.1:0").await?;
