--- a/crates/bundle/src/check.rs
+++ b/crates/bundle/src/check.rs
@@ -1,4 +1,5 @@
-//! Reads the operators' TOML form of a bundle and reports every mistake.
+//! Reads the operators' TOML form of a bundle and reports every error in it; checks bundles in
+//! binary form.
 
 use std::collections::BTreeSet;
 
@@ -8,12 +9,12 @@
 use crate::error::BundleError;
 use crate::model::{Bundle, Group, Kind, Limits, Objective, Service};
 
-/// Longest deadline that a bundle may allow, in milliseconds.
+/// Maximum deadline that a bundle may allow, in milliseconds.
 pub const MAX_DEADLINE_MS: u64 = 60_000;
-/// Most retries that a bundle may allow for one root request.
+/// Maximum number of retries that a bundle may allow for one root request.
 pub const MAX_RETRIES: u64 = 20;
 
-/// Reads and checks the TOML form.
+/// Parses and checks the TOML form.
 pub fn bundle_from_toml(text: &str) -> Result<Bundle, FieldErrors> {
     let mut reader = TableReader::parse(text)?;
     let mut bundle = Bundle {
@@ -26,7 +27,7 @@
         services: reader.sections("services", read_service),
         kinds: reader.sections("kinds", read_kind),
     };
-    for (field, reason) in broken_rules(&bundle) {
+    for (field, reason) in consistency_violations(&bundle) {
         reader.add_error(field, reason);
     }
     reader.finish()?;
@@ -34,20 +35,22 @@
     Ok(bundle)
 }
 
-/// Checks a bundle that arrived in binary form: the rules between its parts, the ranges
-/// that nodes rely on, and the canonical order.
+/// Checks a bundle in binary form: the consistency of its parts, the ranges that nodes rely
+/// on, and the canonical order.
 pub fn check_bundle(bundle: &Bundle) -> Result<(), BundleError> {
-    let first = broken_rules(bundle).into_iter().next();
-    match first.or_else(|| out_of_range(bundle)) {
+    let first = consistency_violations(bundle).into_iter().next();
+    match first.or_else(|| range_violation(bundle)) {
         Some((field, reason)) => Err(BundleError::Invalid(format!("{field}: {reason}"))),
         None => Ok(()),
     }
 }
 
-type BrokenRule = (&'static str, String);
+/// Field that breaks a rule, and the reason.
+type Violation = (&'static str, String);
 
-/// Ranges that the TOML reader enforces for operators, for input that didn't pass it.
-fn out_of_range(bundle: &Bundle) -> Option<BrokenRule> {
+/// Finds a value out of range or a list out of order. The TOML reader enforces ranges and order for
+/// operators; this is for bundles that didn't go through it.
+fn range_violation(bundle: &Bundle) -> Option<Violation> {
     let limits = &bundle.limits;
     let rules = [
         ("version", bundle.version >= 1),
@@ -62,8 +65,8 @@
         ("services", bundle.services.is_sorted_by(|left, right| left.name <= right.name)),
         ("kinds", bundle.kinds.is_sorted_by(|left, right| left.name <= right.name)),
     ];
-    let broken = rules.into_iter().find(|(_, holds)| !holds);
-    broken.map(|(field, _)| (field, "out of range or out of order".to_string()))
+    let violated = rules.into_iter().find(|(_, is_met)| !is_met);
+    violated.map(|(field, _)| (field, "out of range or out of order".to_string()))
 }
 
 fn is_kind_in_range(kind: &Kind) -> bool {
@@ -136,41 +139,49 @@
     kind
 }
 
-/// Rules between the parts of a bundle that are broken, with the field concerned.
-fn broken_rules(bundle: &Bundle) -> Vec<BrokenRule> {
-    let mut broken: Vec<BrokenRule> = Vec::new();
+/// Finds all violations of the rules between the parts of a bundle.
+fn consistency_violations(bundle: &Bundle) -> Vec<Violation> {
+    let mut violations: Vec<Violation> = Vec::new();
     let services: BTreeSet<_> = bundle.services.iter().map(|service| &service.name).collect();
     for kind in &bundle.kinds {
         if !services.contains(&kind.service) {
-            broken
-                .push(("kinds", format!("kind {} names service {} which is not listed", kind.name, kind.service)));
+            violations.push((
+                "kinds",
+                format!("kind {} refers to service {} which is not listed", kind.name, kind.service),
+            ));
         }
         if kind.deadline_ms > bundle.limits.max_deadline_ms {
-            broken.push(("kinds", format!("deadline_ms of kind {} is over limits.max_deadline_ms", kind.name)));
+            violations
+                .push(("kinds", format!("deadline_ms of kind {} exceeds limits.max_deadline_ms", kind.name)));
         }
     }
-    let mut require = |holds: bool, field, reason: &str| {
-        if !holds {
-            broken.push((field, reason.to_string()));
+    let mut require = |is_met: bool, field, reason: &str| {
+        if !is_met {
+            violations.push((field, reason.to_string()));
         }
     };
     let (groups, kinds) = (&bundle.groups, &bundle.kinds);
     require(services.len() == bundle.services.len(), "services", "two services have the same name");
     require(
-        distinct(groups.iter().map(|group| &group.name)) == groups.len(),
+        count_distinct(groups.iter().map(|group| &group.name)) == groups.len(),
         "groups",
         "two groups have the same name",
     );
-    let credentials = distinct(groups.iter().map(|group| &group.credential));
+    let credentials = count_distinct(groups.iter().map(|group| &group.credential));
     require(credentials == groups.len(), "groups", "two groups have the same credential");
-    require(distinct(kinds.iter().map(|kind| &kind.name)) == kinds.len(), "kinds", "two kinds have the same name");
-    let paths = distinct(kinds.iter().map(|kind| (&kind.method, &kind.path_prefix)));
+    require(
+        count_distinct(kinds.iter().map(|kind| &kind.name)) == kinds.len(),
+        "kinds",
+        "two kinds have the same name",
+    );
+    let paths = count_distinct(kinds.iter().map(|kind| (&kind.method, &kind.path_prefix)));
     require(paths == kinds.len(), "kinds", "two kinds have the same method and path prefix");
-    let remembered = bundle.limits.claim_memory_ms >= bundle.limits.max_deadline_ms;
-    require(remembered, "limits", "claim_memory_ms is shorter than max_deadline_ms");
-    broken
+    let outlasts_deadline = bundle.limits.claim_memory_ms >= bundle.limits.max_deadline_ms;
+    require(outlasts_deadline, "limits", "claim_memory_ms is shorter than max_deadline_ms");
+    violations
 }
 
-fn distinct<T: Ord>(items: impl Iterator<Item = T>) -> usize {
+/// Number of distinct items.
+fn count_distinct<T: Ord>(items: impl Iterator<Item = T>) -> usize {
     items.collect::<BTreeSet<_>>().len()
 }
--- a/crates/bundle/src/delta.rs
+++ b/crates/bundle/src/delta.rs
@@ -1,8 +1,8 @@
-//! Differences between two versions.
+//! Deltas between two versions of a bundle.
 //!
-//! A delta carries the signatures of the version it leads to, so a node checks it
-//! exactly as it checks a whole bundle: apply to the parent, compare the digest,
-//! verify the sign-off.
+//! A delta carries the signatures of the version that results from it. So a node checks it as it
+//! checks a whole bundle: it applies the delta to the parent, compares the digest and verifies
+//! the sign-off.
 
 use std::fmt;
 
@@ -37,13 +37,13 @@
 /// A signed version, expressed as changes against its parent.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct BundleDelta {
-    /// Digest of the bundle that the changes apply to.
+    /// Digest of the parent, to which the changes apply.
     pub parent: Digest,
-    /// Version and digest of the result.
+    /// Version and digest of the resulting bundle.
     pub result: Stamp,
-    /// The changes.
+    /// Changes against the parent.
     pub changes: Vec<Change>,
-    /// Signatures over `result`.
+    /// Operators' signatures over `result`.
     pub signatures: Vec<Signature>,
 }
 
@@ -62,8 +62,8 @@
     }
 }
 
-/// Records in `changes` how the list `new` differs from `old`; both are sorted by name.
-fn list_changes<T: PartialEq + Clone, N: Ord + Clone>(
+/// Appends the differences between the lists `old` and `new` to `changes`. Both are sorted by name.
+fn diff_lists<T: PartialEq + Clone, N: Ord + Clone>(
     old: &[T],
     new: &[T],
     name: impl Fn(&T) -> &N,
@@ -71,7 +71,7 @@
     remove: impl Fn(N) -> Change,
     changes: &mut Vec<Change>,
 ) {
-    let find = |list: &[T], wanted: &T| list.binary_search_by(|item| name(item).cmp(name(wanted)));
+    let find = |list: &[T], target: &T| list.binary_search_by(|item| name(item).cmp(name(target)));
     for item in old {
         if find(new, item).is_err() {
             changes.push(remove(name(item).clone()));
@@ -84,7 +84,7 @@
     }
 }
 
-/// The changes that lead from `old` to `new`, besides version and parent.
+/// The changes from `old` to `new`, except for the version and the parent.
 pub fn changes_between(old: &Bundle, new: &Bundle) -> Vec<Change> {
     let mut changes = Vec::new();
     if old.objective != new.objective {
@@ -93,16 +93,9 @@
     if old.limits != new.limits {
         changes.push(Change::Limits(new.limits));
     }
-    list_changes(&old.groups, &new.groups, |g| &g.name, Change::SetGroup, Change::RemoveGroup, &mut changes);
-    list_changes(
-        &old.services,
-        &new.services,
-        |s| &s.name,
-        Change::SetService,
-        Change::RemoveService,
-        &mut changes,
-    );
-    list_changes(&old.kinds, &new.kinds, |k| &k.name, Change::SetKind, Change::RemoveKind, &mut changes);
+    diff_lists(&old.groups, &new.groups, |g| &g.name, Change::SetGroup, Change::RemoveGroup, &mut changes);
+    diff_lists(&old.services, &new.services, |s| &s.name, Change::SetService, Change::RemoveService, &mut changes);
+    diff_lists(&old.kinds, &new.kinds, |k| &k.name, Change::SetKind, Change::RemoveKind, &mut changes);
     changes
 }
 
@@ -130,7 +123,7 @@
 
 impl BundleDelta {
     /// The delta from `parent`, whose stamp is `parent_stamp`, to `signed`, whose stamp is
-    /// `result`; `None` when `signed` names another parent.
+    /// `result`. `None` when `signed` has another parent.
     pub fn between(parent: &Bundle, parent_stamp: Stamp, signed: &SignedBundle, result: Stamp) -> Option<Self> {
         let parent_digest = parent_stamp.digest;
         (signed.bundle.parent == parent_digest).then(|| BundleDelta {
@@ -141,8 +134,8 @@
         })
     }
 
-    /// Applies the changes to `parent`, whose stamp is `parent_stamp`; fails unless the
-    /// result has the named digest.
+    /// Applies the changes to `parent`, whose stamp is `parent_stamp`. Fails unless the resulting
+    /// bundle has the stamp [`BundleDelta::result`].
     pub fn apply(&self, parent: &Bundle, parent_stamp: Stamp) -> Result<SignedBundle, BundleError> {
         if parent_stamp.digest != self.parent {
             return Err(BundleError::ParentNotInForce { version: self.result.version });
--- a/crates/bundle/src/error.rs
+++ b/crates/bundle/src/error.rs
@@ -1,69 +1,75 @@
-//! Errors of the bundle layer.
+//! Errors of bundles, deltas and signing keys.
 
 use std::fmt;
 
 use crate::model::Stamp;
 
-/// Why a bundle or delta was not accepted.
+/// Why a bundle, a delta or a signing key was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BundleError {
-    /// The bytes are not a bundle of this format.
+    /// The bytes can't be decoded as a signed bundle.
     Malformed,
-    /// Larger than the accepted size, in bytes.
+    /// The signed bundle is over the maximum size.
     TooLarge {
-        /// Size found.
+        /// Size of the bundle, in bytes.
         size: usize,
-        /// Largest accepted size.
+        /// Maximum size, in bytes.
         limit: usize,
     },
     /// Fewer valid signatures by sign-off keys than required.
     NotSignedOff {
-        /// Distinct valid signatures found.
+        /// Number of distinct operators with a valid signature.
         valid: usize,
-        /// Signatures required.
+        /// Number of operators who must sign.
         required: usize,
     },
-    /// Made for another deployment.
+    /// The bundle is for another deployment.
     WrongDeployment {
-        /// Deployment named by the bundle.
+        /// Deployment that the bundle is for.
         found: String,
     },
-    /// A delta whose parent is not the bundle in force.
+    /// The parent of the delta is not the bundle in force.
     ParentNotInForce {
-        /// Version that the delta leads to.
+        /// Version that results from the delta.
         version: u64,
     },
-    /// A delta that does not lead to the digest it names.
+    /// The delta doesn't result in the bundle that it announces.
     DigestMismatch,
-    /// Older than the version in force or than the floor.
+    /// The version is older than the one in force or than the floor.
     OlderThanFloor {
-        /// The version offered.
+        /// Version that was offered.
         offered: Stamp,
-        /// The version that must not be left.
+        /// Oldest version that is accepted.
         floor: Stamp,
     },
     /// The content breaks a rule of [`crate::check`].
     Invalid(String),
-    /// A signing key file is not 32 bytes of hexadecimal text.
+    /// The text of a signing key is not 32 bytes in hexadecimal digits.
     InvalidKey,
 }
 
 impl fmt::Display for BundleError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BundleError::Malformed => formatter.write_str("not a bundle of this format"),
-            BundleError::TooLarge { size, limit } => write!(formatter, "bundle of {size} bytes is over {limit}"),
+            BundleError::Malformed => formatter.write_str("not a signed bundle of this format"),
+            BundleError::TooLarge { size, limit } => {
+                write!(formatter, "bundle of {size} bytes exceeds the maximum of {limit}")
+            }
             BundleError::NotSignedOff { valid, required } => {
-                write!(formatter, "{valid} valid sign-off signatures, {required} required")
+                write!(formatter, "{valid} valid sign-off signatures of {required} required")
             }
-            BundleError::WrongDeployment { found } => write!(formatter, "made for deployment {found}"),
+            BundleError::WrongDeployment { found } => write!(formatter, "bundle is for deployment {found}"),
             BundleError::ParentNotInForce { version } => {
-                write!(formatter, "parent of version {version} is not in force here")
+                write!(formatter, "parent of version {version} is not in force on this node")
+            }
+            BundleError::DigestMismatch => {
+                formatter.write_str("bundle that results from the delta has an unexpected digest")
+            }
+            BundleError::OlderThanFloor { offered, floor } => {
+                write!(formatter, "version {offered} is older than {floor}")
             }
-            BundleError::DigestMismatch => formatter.write_str("delta does not lead to its digest"),
-            BundleError::OlderThanFloor { offered, floor } => write!(formatter, "{offered} is older than {floor}"),
             BundleError::Invalid(reason) => write!(formatter, "invalid content: {reason}"),
-            BundleError::InvalidKey => formatter.write_str("a signing key is 64 hexadecimal digits"),
+            BundleError::InvalidKey => formatter.write_str("a signing key must be 64 hexadecimal digits"),
         }
     }
 }
--- a/crates/bundle/src/index.rs
+++ b/crates/bundle/src/index.rs
@@ -1,4 +1,4 @@
-//! Classification of requests without scanning all kinds.
+//! Lookup tables that classify requests without a scan of all kinds.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 
 use crate::model::{Bundle, Group, Kind, Stamp};
 
-/// A bundle in force with the look-up tables that each request needs.
+/// A bundle in force with the lookup tables that each request needs.
 #[derive(Debug)]
 pub struct IndexedBundle {
     bundle: Bundle,
@@ -16,7 +16,7 @@
     weights: HashMap<GroupName, u32>,
 }
 
-/// The part of a path up to its second slash: `/loans/42` gives `/loans`.
+/// The first segment of a path, with its leading slash: `/loans/42` and `/loans?id=42` give `/loans`.
 fn first_segment(path: &str) -> &str {
     let rest = path.get(1..).unwrap_or_default();
     let end = rest.find(['/', '?']).map_or(path.len(), |position| position + 1);
@@ -24,7 +24,7 @@
 }
 
 impl IndexedBundle {
-    /// Indexes a bundle.
+    /// Builds the lookup tables of a bundle.
     pub fn new(bundle: Bundle) -> Self {
         let mut kinds_by_first_segment: HashMap<String, Vec<usize>> = HashMap::new();
         for (position, kind) in bundle.kinds.iter().enumerate() {
@@ -38,18 +38,18 @@
         IndexedBundle { bundle, stamp, kinds_by_first_segment, groups_by_credential, weights }
     }
 
-    /// The bundle.
+    /// The indexed bundle.
     pub fn bundle(&self) -> &Bundle {
         &self.bundle
     }
 
-    /// Its version and digest.
+    /// Version and digest of the bundle.
     pub fn stamp(&self) -> Stamp {
         self.stamp
     }
 
-    /// The kind of a request, by method and longest path prefix. A prefix without a
-    /// second slash matches whole first segments only.
+    /// The kind of a request, by method and longest matching path prefix. A prefix of one
+    /// segment matches only paths with exactly that first segment.
     pub fn classify(&self, method: &str, path: &str) -> Option<&Kind> {
         let positions = self.kinds_by_first_segment.get(first_segment(path))?;
         let kinds = positions.iter().map(|position| &self.bundle.kinds[*position]);
@@ -57,7 +57,7 @@
         matching.max_by_key(|kind| kind.path_prefix.len())
     }
 
-    /// The group that presents `credential`; without one, the group that needs none.
+    /// The group whose callers present `credential`; without a credential, the group that needs none.
     pub fn group_of(&self, credential: Option<&[u8]>) -> Option<&Group> {
         let position = self.groups_by_credential.get(&credential.map(Digest::of))?;
         self.bundle.groups.get(*position)
--- a/crates/bundle/src/lib.rs
+++ b/crates/bundle/src/lib.rs
@@ -1,12 +1,12 @@
 //! The signed, versioned configuration bundle.
 //!
-//! - [`model`]: what a bundle says, with its canonical borsh form and digest.
-//! - [`check`]: reads the operators' TOML form and reports every mistake.
+//! - [`model`]: content of a bundle, with its canonical borsh form and digest.
+//! - [`check`]: parses the operators' TOML form and validates bundles.
 //! - [`sign`]: signatures, key sets and the m-of-n sign-off.
 //! - [`delta`]: differences between versions, sent instead of whole bundles.
-//! - [`index`]: look-up tables for classification.
-//! - [`propagation`]: how versions spread between nodes.
-//! - [`store`]: which version is in force; never goes back.
+//! - [`index`]: lookup tables for the classification of requests.
+//! - [`propagation`]: how nodes pass versions on to each other.
+//! - [`store`]: the version in force on a node, which never goes back.
 
 pub mod check;
 pub mod delta;
--- a/crates/bundle/src/model.rs
+++ b/crates/bundle/src/model.rs
@@ -1,4 +1,4 @@
-//! What a bundle says.
+//! Content of a bundle.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,13 +6,13 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_types::{Digest, GroupName, Importance, KindName, ServiceName};
 
-/// Orders versions: first by number, then by digest, so that two bundles
-/// published with one number end on the same one everywhere.
+/// Identifies and orders versions: first by number, then by digest. When two different bundles
+/// are published with the same number, the order makes all nodes settle on the same one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash, BorshSerialize, BorshDeserialize)]
 pub struct Stamp {
-    /// Version number; 0 stands for no bundle.
+    /// Version number; 0 means no bundle.
     pub version: u64,
-    /// Digest of the canonical form.
+    /// Digest of the bundle's canonical form.
     pub digest: Digest,
 }
 
@@ -30,11 +30,11 @@
     pub deployment: String,
     /// Version number, from 1.
     pub version: u64,
-    /// Digest of the parent's canonical form; zero for the first.
+    /// Digest of the parent's canonical form; zero for the first version.
     pub parent: Digest,
-    /// The trade between recovery time and goodput.
+    /// Trade-off between recovery time and goodput.
     pub objective: Objective,
-    /// Bounds that hold for every request.
+    /// Limits that apply to every request.
     pub limits: Limits,
     /// Groups of callers, sorted by name.
     pub groups: Vec<Group>,
@@ -44,10 +44,11 @@
     pub kinds: Vec<Kind>,
 }
 
-/// The trade between recovery time (short queues) and goodput (full slots).
+/// Trade-off between recovery time (short queues) and goodput (busy slots).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Objective {
-    /// Longest predicted queue wait accepted for a request below the protected importance, in milliseconds.
+    /// Maximum predicted queue wait with which a request below the protected importance is admitted,
+    /// in milliseconds.
     pub max_queue_wait_ms: u32,
 }
 
@@ -58,62 +59,62 @@
     }
 }
 
-/// Bounds that hold for every request.
+/// Limits that apply to every request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Limits {
     /// Retries that one root request may cause in its whole call graph.
     pub retries_per_request: u8,
-    /// Longest chain of calls.
+    /// Maximum length of a chain of calls.
     pub max_hops: u8,
-    /// Longest deadline that a caller may ask for, in milliseconds.
+    /// Maximum deadline that a caller may ask for, in milliseconds.
     pub max_deadline_ms: u32,
     /// Time for which a claim on an idempotency key is remembered, in milliseconds.
     pub claim_memory_ms: u32,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_request_body_bytes: u32,
 }
 
 /// A group of callers.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Group {
-    /// Name.
+    /// Unique name.
     pub name: GroupName,
-    /// Share owed relative to the other groups' weights.
+    /// Weight of the group's fair share, relative to the weights of the other groups.
     pub weight: u32,
-    /// BLAKE3 digest of the credential that callers present; `None` for the
-    /// group of callers without one.
+    /// BLAKE3 digest of the credential that callers present; `None` for the group of
+    /// callers without a credential.
     pub credential: Option<Digest>,
 }
 
 /// A service of the call graph.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Service {
-    /// Name.
+    /// Unique name.
     pub name: ServiceName,
-    /// Calls that one instance serves at a time.
+    /// Number of calls that one instance serves at a time.
     pub slots: u32,
-    /// Connections that one instance takes.
+    /// Number of connections that one instance accepts.
     pub connections: u32,
 }
 
 /// A kind of request.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Kind {
-    /// Name.
+    /// Unique name.
     pub name: KindName,
     /// Service that serves it.
     pub service: ServiceName,
     /// HTTP method.
     pub method: String,
-    /// Path prefix; the longest match decides.
+    /// Path prefix; the longest matching one decides.
     pub path_prefix: String,
-    /// Importance; larger is shed later.
+    /// Importance; requests of higher importance are shed later.
     pub importance: Importance,
-    /// True when running the request twice does no harm.
+    /// True when the request is safe to run more than once.
     pub repeat_safe: bool,
-    /// Deadline when the caller names none, in milliseconds.
+    /// Deadline for requests without one, in milliseconds.
     pub deadline_ms: u32,
-    /// Expected service time without queueing, in milliseconds; own observations replace it.
+    /// Expected service time without queueing, in milliseconds. A node's own measurements replace it.
     pub expected_ms: u32,
 }
 
--- a/crates/bundle/src/propagation.rs
+++ b/crates/bundle/src/propagation.rs
@@ -1,41 +1,41 @@
-//! How a version spreads between nodes, as decisions without I/O.
+//! Propagation of versions between nodes: the decisions, without I/O.
 //!
-//! Whoever accepts a version passes it on at once to [`FANOUT`] random members; whoever
-//! hears of a version that it cannot build from a delta fetches the whole bundle from
-//! the sender. Used by nodes and, hollow, by the scale run.
+//! A node that accepts a version sends it on at once to [`FANOUT`] random members. A node that
+//! learns of a version that it can't build from a delta fetches the whole bundle from the
+//! sender. Nodes use this code, and simulations can use it without a network.
 
 use crate::delta::BundleDelta;
 use crate::error::BundleError;
 use crate::model::Stamp;
 use crate::store::{BundleStore, OfferOutcome};
 
-/// Members to which a new version is passed on.
+/// Number of members that a node sends a new version on to.
 pub const FANOUT: usize = 4;
 
-/// What to do about news of a version.
+/// What a node does when it learns of a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PropagationAction {
-    /// Nothing: it is known or older.
+    /// Nothing: the version is in force already or too old.
     Nothing,
-    /// It was accepted: put it in force and pass it on.
+    /// Put the accepted version in force and send it on.
     Propagate(OfferOutcome),
-    /// Fetch the whole bundle from whoever sent the news.
+    /// Fetch the whole bundle from the sender.
     Fetch,
-    /// It was refused.
+    /// Report that the delta was refused.
     Refuse(BundleError),
 }
 
-/// A delta arrived.
+/// Offers a received delta to the store.
 pub fn on_delta(store: &mut BundleStore, delta: &BundleDelta) -> PropagationAction {
     match store.offer_delta(delta) {
         Ok(OfferOutcome::AlreadyInForce) | Err(BundleError::OlderThanFloor { .. }) => PropagationAction::Nothing,
-        Ok(offer) => PropagationAction::Propagate(offer),
+        Ok(outcome) => PropagationAction::Propagate(outcome),
         Err(BundleError::ParentNotInForce { .. }) => PropagationAction::Fetch,
         Err(error) => PropagationAction::Refuse(error),
     }
 }
 
-/// A member said which version it has in force.
+/// Compares the version that a member has in force with the one of the store.
 pub fn on_version(store: &BundleStore, stamp: Stamp) -> PropagationAction {
     if stamp > store.stamp() { PropagationAction::Fetch } else { PropagationAction::Nothing }
 }
--- a/crates/bundle/src/sign.rs
+++ b/crates/bundle/src/sign.rs
@@ -6,17 +6,18 @@
 use crate::error::BundleError;
 use crate::model::{Bundle, Stamp};
 
-/// Largest accepted signed bundle, in bytes.
+/// Maximum size of a signed bundle, in bytes.
 pub const MAX_SIGNED_BUNDLE_BYTES: usize = 4 << 20;
-/// Most signatures that one bundle may carry.
+/// Maximum number of signatures of a bundle that are checked. Further ones don't count.
 pub const MAX_SIGNATURES: usize = 32;
 
+/// Prefix of each signed message, which separates it from other uses of the keys.
 const SIGNING_DOMAIN: &[u8] = b"olivegate bundle v1";
 
-/// One operator's signature over a version number and digest.
+/// An operator's signature over a version number and digest.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Signature {
-    /// Public key of the operator.
+    /// Ed25519 public key of the operator.
     pub key: [u8; 32],
     /// Ed25519 signature.
     pub bytes: [u8; 64],
@@ -25,9 +26,9 @@
 /// A bundle with its signatures.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct SignedBundle {
-    /// The bundle.
+    /// Bundle that is signed.
     pub bundle: Bundle,
-    /// Signatures over its stamp.
+    /// Operators' signatures over its stamp.
     pub signatures: Vec<Signature>,
 }
 
@@ -36,7 +37,7 @@
 pub struct SignOff {
     /// Public keys of the operators.
     pub keys: Vec<[u8; 32]>,
-    /// Number of distinct operators that must sign.
+    /// Number of distinct operators who must sign.
     pub required: usize,
 }
 
@@ -51,12 +52,12 @@
 }
 
 impl SigningKeyPair {
-    /// The key pair of a 32-byte secret.
+    /// Derives the key pair from a 32-byte secret.
     pub fn from_secret(secret: [u8; 32]) -> Self {
         SigningKeyPair(SigningKey::from_bytes(&secret))
     }
 
-    /// Reads a secret written as 64 hexadecimal digits.
+    /// Derives the key pair from a secret of 64 hexadecimal digits.
     pub fn from_hex(text: &str) -> Result<Self, BundleError> {
         let bytes = hex::decode(text.trim()).map_err(|_| BundleError::InvalidKey)?;
         let secret: [u8; 32] = bytes.try_into().map_err(|_| BundleError::InvalidKey)?;
@@ -82,12 +83,12 @@
         SignedBundle { bundle, signatures }
     }
 
-    /// Binary form.
+    /// Encodes the binary form.
     pub fn to_bytes(&self) -> Vec<u8> {
         borsh::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads the binary form; refuses oversized input before decoding.
+    /// Decodes the binary form. Input over the maximum size is refused before it is decoded.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, BundleError> {
         if bytes.len() > MAX_SIGNED_BUNDLE_BYTES {
             return Err(BundleError::TooLarge { size: bytes.len(), limit: MAX_SIGNED_BUNDLE_BYTES });
@@ -102,8 +103,8 @@
         let message = signed_message(stamp);
         let mut signers: Vec<[u8; 32]> = Vec::new();
         for signature in signatures.iter().take(MAX_SIGNATURES) {
-            let counts = self.keys.contains(&signature.key) && !signers.contains(&signature.key);
-            if counts && is_valid(signature, &message) {
+            let is_new_signer = self.keys.contains(&signature.key) && !signers.contains(&signature.key);
+            if is_new_signer && is_valid(signature, &message) {
                 signers.push(signature.key);
             }
         }
--- a/crates/bundle/src/store.rs
+++ b/crates/bundle/src/store.rs
@@ -1,7 +1,7 @@
-//! Which version is in force on a node.
+//! The bundle version in force on a node.
 //!
-//! The store never goes back: it accepts only versions above the one in force
-//! and not below the floor, which a starting node learns from its peers.
+//! The store never goes back to an older version: it accepts only versions above the one in
+//! force and not below the floor, which a starting node learns from its peers.
 
 use std::sync::Arc;
 
@@ -11,24 +11,24 @@
 use crate::model::{Bundle, Stamp};
 use crate::sign::{SignOff, SignedBundle};
 
-/// What became of an offered bundle.
+/// Outcome of offering a bundle that was not refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is now in force.
+    /// The bundle is now in force.
     Accepted(Stamp),
-    /// It is now in force and replaces another bundle of the same version
-    /// number, published at the same time.
+    /// The bundle is now in force and replaced a conflicting one: a different bundle that was
+    /// published with the same version number.
     AcceptedOverConflict {
-        /// The version now in force.
+        /// Version now in force.
         winner: Stamp,
-        /// The version that lost.
+        /// Version that was replaced.
         loser: Stamp,
     },
-    /// It was in force already.
+    /// The bundle was in force already.
     AlreadyInForce,
 }
 
-/// The bundle in force, the floor and the last rivalry.
+/// The bundle in force, the floor, and the bundle that lost the last conflict.
 #[derive(Debug, Clone)]
 pub struct BundleStore {
     deployment: String,
@@ -41,7 +41,8 @@
 }
 
 impl BundleStore {
-    /// An empty store that accepts bundles of `deployment` signed off by `sign_off`.
+    /// Creates an empty store. It accepts bundles of `deployment` that are signed as `sign_off`
+    /// requires.
     pub fn new(deployment: impl Into<String>, sign_off: SignOff) -> Self {
         BundleStore {
             deployment: deployment.into(),
@@ -54,17 +55,18 @@
         }
     }
 
-    /// Raises the floor to what a peer has in force. Peers are authenticated nodes.
+    /// Raises the floor to the version that a peer has in force. Peers are authenticated nodes, so
+    /// the version is trusted.
     pub fn raise_floor(&mut self, stamp: Stamp) {
         self.floor = self.floor.max(stamp);
     }
 
-    /// The highest version known to be in force somewhere.
+    /// The highest version known to be in force on any node.
     pub fn floor(&self) -> Stamp {
         self.floor.max(self.current_stamp)
     }
 
-    /// Version in force; the default stamp when none is.
+    /// The version in force, or the default stamp when there is none.
     pub fn stamp(&self) -> Stamp {
         self.current_stamp
     }
@@ -74,12 +76,12 @@
         self.current.clone()
     }
 
-    /// The delta that leads to the version in force, when its parent was held.
+    /// The delta to the version in force, if its parent was in force on this node before.
     pub fn latest_delta(&self) -> Option<Arc<BundleDelta>> {
         self.latest_delta.clone()
     }
 
-    /// The last version that lost to another of the same number.
+    /// The version that lost the last conflict between two bundles with the same number.
     pub fn last_conflict_loser(&self) -> Option<Stamp> {
         self.last_conflict_loser
     }
@@ -95,19 +97,19 @@
         if stamp == self.current_stamp {
             return Ok(OfferOutcome::AlreadyInForce);
         }
-        self.refuse_older(stamp)?;
+        self.reject_older(stamp)?;
         self.accept(signed, stamp, None)
     }
 
-    /// Offers a delta; fails with [`BundleError::ParentNotInForce`] when the whole bundle is needed.
+    /// Offers a delta. Fails with [`BundleError::ParentNotInForce`] when the whole bundle is needed.
     pub fn offer_delta(&mut self, delta: &BundleDelta) -> Result<OfferOutcome, BundleError> {
         if delta.result == self.current_stamp {
             return Ok(OfferOutcome::AlreadyInForce);
         }
-        self.refuse_older(delta.result)?;
+        self.reject_older(delta.result)?;
         self.sign_off.verify(&delta.result, &delta.signatures)?;
-        let missing = BundleError::ParentNotInForce { version: delta.result.version };
-        let parent = self.current.clone().ok_or(missing)?;
+        let parent_not_in_force = BundleError::ParentNotInForce { version: delta.result.version };
+        let parent = self.current.clone().ok_or(parent_not_in_force)?;
         let signed = delta.apply(&parent.bundle, self.current_stamp)?;
         self.accept(signed, delta.result, Some(Arc::new(delta.clone())))
     }
@@ -126,18 +128,18 @@
         Ok(self.install(signed, stamp, delta))
     }
 
-    fn refuse_older(&self, offered: Stamp) -> Result<(), BundleError> {
+    fn reject_older(&self, offered: Stamp) -> Result<(), BundleError> {
         let floor = self.floor();
         if offered < floor { Err(BundleError::OlderThanFloor { offered, floor }) } else { Ok(()) }
     }
 
     fn install(&mut self, signed: SignedBundle, stamp: Stamp, delta: Option<Arc<BundleDelta>>) -> OfferOutcome {
         let previous = self.current_stamp;
-        let made = || {
+        let computed = || {
             let parent = self.current.as_ref()?;
             BundleDelta::between(&parent.bundle, previous, &signed, stamp).map(Arc::new)
         };
-        self.latest_delta = delta.or_else(made);
+        self.latest_delta = delta.or_else(computed);
         self.current = Some(Arc::new(signed));
         self.current_stamp = stamp;
         if previous.version == stamp.version {
@@ -147,7 +149,7 @@
         OfferOutcome::Accepted(stamp)
     }
 
-    /// The bundle in force, if any.
+    /// The bundle in force without its signatures, if any.
     pub fn bundle(&self) -> Option<&Bundle> {
         self.current.as_deref().map(|signed| &signed.bundle)
     }
--- a/crates/bundle/tests/fuzz.rs
+++ b/crates/bundle/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing of the bundle store against a simple oracle: the stamp in force and
-//! the floor. Whole bundles and deltas arrive late, twice and out of order.
+//! Stateful fuzzing of the bundle store against a simple model of the stamp in force and the
+//! floor. Whole bundles and deltas arrive late, twice and out of order.
 
 mod support;
 
@@ -11,7 +11,8 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use support::{bundle, sign_off, signed};
 
-/// A tree of versions: each has two rivals, each of which has the first rival below as parent.
+/// A tree of versions. Each version number has two conflicting bundles, and the parent of both is
+/// the first bundle of the number below.
 fn versions() -> &'static [Bundle] {
     static VERSIONS: OnceLock<Vec<Bundle>> = OnceLock::new();
     VERSIONS.get_or_init(make_versions)
@@ -21,9 +22,9 @@
     let mut parent = Digest::default();
     let mut versions = Vec::new();
     for version in 1..=6 {
-        let rivals = [bundle(version, parent, 10), bundle(version, parent, 20)];
-        parent = rivals[0].stamp().digest;
-        versions.extend(rivals);
+        let conflicting = [bundle(version, parent, 10), bundle(version, parent, 20)];
+        parent = conflicting[0].stamp().digest;
+        versions.extend(conflicting);
     }
     versions
 }
@@ -39,7 +40,7 @@
 #[derive(Debug, Clone)]
 struct Model;
 
-/// What the oracle expects.
+/// State that the model expects.
 #[derive(Debug, Clone, Default)]
 struct Expected {
     current: Stamp,
--- a/crates/bundle/tests/store.rs
+++ b/crates/bundle/tests/store.rs
@@ -1,4 +1,4 @@
-//! Which versions a node accepts.
+//! Which bundles and deltas the store accepts and refuses.
 
 mod support;
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn rivals_of_one_number_end_on_the_same_one_in_any_order() {
+fn conflicting_bundles_of_one_version_settle_on_the_same_one_in_any_order() {
     let (left, right) = (bundle(1, Digest::default(), 10), bundle(1, Digest::default(), 20));
     let winner = left.stamp().max(right.stamp());
     for order in [[&left, &right], [&right, &left]] {
--- a/crates/bundle/tests/support/mod.rs
+++ b/crates/bundle/tests/support/mod.rs
@@ -4,17 +4,17 @@
 use olivegate_bundle::{Bundle, SignOff, SignedBundle, SigningKeyPair};
 use olivegate_types::Digest;
 
-/// Keys of three operators, two of whom must sign.
+/// Key pairs of three operators.
 pub fn keys() -> Vec<SigningKeyPair> {
     (1..=3).map(|secret| SigningKeyPair::from_secret([secret; 32])).collect()
 }
 
-/// Two of the three operators must sign.
+/// A sign-off that requires signatures of two of the three operators.
 pub fn sign_off() -> SignOff {
     SignOff { keys: keys().iter().map(SigningKeyPair::public_key).collect(), required: 2 }
 }
 
-/// A small valid bundle.
+/// A small valid bundle whose maximum queue wait is `wait` milliseconds.
 pub fn bundle(version: u64, parent: Digest, wait: u32) -> Bundle {
     let text = format!(
         "deployment = \"test\"\nversion = {version}\n[objective]\nmax_queue_wait_ms = {wait}\n\
@@ -25,7 +25,7 @@
     Bundle { parent, ..bundle_from_toml(&text).unwrap() }
 }
 
-/// Signed by the first two operators.
+/// Signs `bundle` with the keys of the first two operators.
 pub fn signed(bundle: Bundle) -> SignedBundle {
     SignedBundle::signed_by(bundle, &keys()[..2])
 }
