--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -4,14 +4,14 @@
 //! - [`attempts`]: chooses instances, sends, retries within the allowance.
 //! - [`forward`] and [`peers`]: calls to gates on other nodes.
 //! - [`claim`]: at-most-once for keyed requests that may not be repeated.
-//! - [`answer`]: the final answer's headers and kept answers.
+//! - [`response`]: the final answer's headers and kept answers.
 
 pub mod admit;
-pub mod answer;
 pub mod attempts;
 pub mod claim;
 pub mod forward;
 pub mod peers;
+pub mod response;
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     let before_claim = clock::now();
     let claim = match claim::claim_if_needed(node, ClaimRequest::of(&admitted)).await {
         Ok(claim) => claim,
-        Err(answer) => return answer::finish_refused(node, &admitted, *answer),
+        Err(answer) => return response::finish_refused(node, &admitted, *answer),
     };
     let waited_for_seats = clock::now() - before_claim;
     let mut attempts = Attempts::new(node, &mut admitted);
@@ -53,7 +53,7 @@
     let own = (clock::now() - arrived).saturating_sub(outside);
     node.metrics.on_processing(own);
     match result {
-        AttemptResult::Answered(response) => answer::finish_answered(node, admitted, response, own, claim).await,
+        AttemptResult::Answered(response) => response::finish_answered(node, admitted, response, own, claim).await,
         AttemptResult::NotRun(refusal) => {
             if let Some(claim) = claim {
                 claim.abandon(node);
@@ -65,12 +65,12 @@
                 Decision::Refused { reason: refusal.reason },
             );
             let answer = FinalAnswer::not_run(refusal.reason.as_str(), refusal.retry_after);
-            answer::finish(node, &admitted, answer)
+            response::finish(node, &admitted, answer)
         }
         AttemptResult::Unknown => {
             let status = hyper::StatusCode::GATEWAY_TIMEOUT;
             let answer = FinalAnswer::unknown(status, "no whole answer in time", Duration::from_millis(500));
-            answer::finish(node, &admitted, answer)
+            response::finish(node, &admitted, answer)
         }
     }
 }
