--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -109,7 +109,7 @@
     log::info!("event=node_stopping calls_in_flight={}", node.stop.in_flight());
     let outputs = lock(&node.membership).leave();
     node.member_changes.send_modify(|count| *count += 1);
-    control_loops::membership::carry_out(node, outputs);
+    control_loops::membership::apply_outputs(node, outputs);
     tokio::time::sleep(ANNOUNCEMENT_TIME).await;
     hand_over_seats(node).await;
     node.stop.stop();
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -87,19 +87,19 @@
 }
 
 /// A connection in use, given back when this value is dropped.
-pub struct Lease {
+pub struct ConnectionGuard {
     pool: Arc<ConnectionPool>,
     connection: Option<SendRequest<AnyBody>>,
 }
 
-impl Lease {
+impl ConnectionGuard {
     /// Takes care of giving `connection` back to `pool`.
     pub fn new(pool: Arc<ConnectionPool>, connection: SendRequest<AnyBody>) -> Self {
-        Lease { pool, connection: Some(connection) }
+        ConnectionGuard { pool, connection: Some(connection) }
     }
 }
 
-impl Drop for Lease {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         if let Some(connection) = self.connection.take() {
             self.pool.give_back(connection);
--- a/crates/node/src/control_loops/health.rs
+++ b/crates/node/src/control_loops/health.rs
@@ -44,8 +44,8 @@
     let leaving = header_text(&answer.headers, header::LEAVING) == Some("true");
     let mut directory = node.write_directory();
     if leaving {
-        directory.note_leaving(&instance.name, clock::now());
+        directory.mark_leaving(&instance.name, clock::now());
     } else {
-        directory.note_staying(&instance.name);
+        directory.mark_not_leaving(&instance.name);
     }
 }
--- a/crates/node/src/control_loops/membership.rs
+++ b/crates/node/src/control_loops/membership.rs
@@ -25,7 +25,7 @@
     loop {
         interval.tick().await;
         let outputs = lock(&node.membership).tick(clock::now());
-        carry_out(&node, outputs);
+        apply_outputs(&node, outputs);
     }
 }
 
@@ -49,7 +49,7 @@
         Datagram::Membership { message, bundle: stamp } => {
             let sender = message.from.clone();
             let outputs = lock(&node.membership).on_message(message, from, clock::now());
-            carry_out(node, outputs);
+            apply_outputs(node, outputs);
             bundle::on_version(node, &sender, stamp);
         }
         Datagram::Delta { from, delta } => bundle::on_delta(node, &from, delta),
@@ -58,7 +58,7 @@
 }
 
 /// Carries out what the membership core asks for.
-pub fn carry_out(node: &Node, outputs: Vec<Output>) {
+pub fn apply_outputs(node: &Node, outputs: Vec<Output>) {
     for output in outputs {
         match output {
             Output::Send { to, message } => {
@@ -95,5 +95,5 @@
         return;
     };
     let outputs = lock(&node.membership).merge(records, clock::now());
-    carry_out(&node, outputs);
+    apply_outputs(&node, outputs);
 }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -63,7 +63,7 @@
 pub struct Directory {
     instances: BTreeMap<InstanceName, Instance>,
     by_service: HashMap<ServiceName, Vec<InstanceName>>,
-    seen_leaving: HashMap<InstanceName, Moment>,
+    observed_leaving: HashMap<InstanceName, Moment>,
 }
 
 impl Directory {
@@ -103,17 +103,17 @@
 
     /// True when the platform or a call said that the instance is leaving.
     pub fn is_leaving(&self, name: &InstanceName, now: Moment) -> bool {
-        let seen = self.seen_leaving.get(name).is_some_and(|at| now.since(*at) < LEAVING_MEMORY);
+        let seen = self.observed_leaving.get(name).is_some_and(|at| now.since(*at) < LEAVING_MEMORY);
         seen || self.instances.get(name).is_some_and(|instance| instance.leaving)
     }
 
     /// A call or the instance itself showed that it is leaving.
-    pub fn note_leaving(&mut self, name: &InstanceName, now: Moment) {
-        self.seen_leaving.insert(name.clone(), now);
+    pub fn mark_leaving(&mut self, name: &InstanceName, now: Moment) {
+        self.observed_leaving.insert(name.clone(), now);
     }
 
     /// The instance itself said that it is not leaving.
-    pub fn note_staying(&mut self, name: &InstanceName) {
-        self.seen_leaving.remove(name);
+    pub fn mark_not_leaving(&mut self, name: &InstanceName) {
+        self.observed_leaving.remove(name);
     }
 }
--- a/crates/node/src/edge/attempts.rs
+++ b/crates/node/src/edge/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of one call: choice of instance, sending, retries within the allowance.
+//! The attempts of one call: choosing an instance, sending, and retrying within the retry limits.
 
 use std::time::Duration;
 
@@ -17,52 +17,53 @@
 use crate::state::{Node, lock};
 use olivegate_clock as clock;
 
-/// Time to come back when no instance can be reached.
+/// `Retry-After` when no instance can be reached.
 const NO_INSTANCE_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Time limit for asking the root's node for a retry credit.
+/// Timeout for requesting a retry credit from the root's node.
 const CREDIT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What became of all attempts.
+/// Result of all attempts of a call.
 pub enum AttemptResult {
-    /// A back end answered.
+    /// An instance responded.
     Answered(Response<AnyBody>),
-    /// No back end started the request.
+    /// No instance started the request.
     NotRun(Refusal),
-    /// A back end may have run the request.
+    /// An instance may have run the request, but no response arrived.
     Unknown,
 }
 
-/// What to do after an attempt that was not answered.
-enum Next {
+/// What follows an attempt.
+enum NextStep {
     Retry,
     End(AttemptResult),
 }
 
-/// The attempts of one call.
+/// Runs the attempts of one call.
 pub struct Attempts<'a> {
     node: &'a Node,
     call: &'a mut Admitted,
     tried: Vec<InstanceName>,
-    outside: Duration,
-    maybe_ran: bool,
+    excluded_time: Duration,
+    may_have_run: bool,
 }
 
 impl<'a> Attempts<'a> {
-    /// No attempt yet.
+    /// Starts without an attempt made.
     pub fn new(node: &'a Node, call: &'a mut Admitted) -> Self {
-        Attempts { node, call, tried: Vec::new(), outside: Duration::ZERO, maybe_ran: false }
+        Attempts { node, call, tried: Vec::new(), excluded_time: Duration::ZERO, may_have_run: false }
     }
 
-    /// Time that the attempts spent waiting for slots and in instances.
-    pub fn outside(&self) -> Duration {
-        self.outside
+    /// Time that the attempts spent waiting for slots, in instances and between nodes; it doesn't count
+    /// as own processing.
+    pub fn excluded_time(&self) -> Duration {
+        self.excluded_time
     }
 
-    /// Attempts until there is an answer, no allowance or no time.
+    /// Makes attempts until one is answered, the retry limits are reached or the deadline passes.
     pub async fn run(&mut self) -> AttemptResult {
         let mut attempt = 0;
         loop {
-            let Some((instance, gate)) = self.choose() else {
+            let Some((instance, gate)) = self.choose_instance() else {
                 return self.not_run(RefusalReason::NoInstance);
             };
             let Some(body) = self.call.body.for_attempt() else {
@@ -70,22 +71,22 @@
             };
             self.tried.push(instance.name.clone());
             let result = self.attempt(instance, gate, body, attempt).await;
-            match self.judge(result).await {
-                Next::Retry => attempt += 1,
-                Next::End(result) => return result,
+            match self.next_step(result).await {
+                NextStep::Retry => attempt += 1,
+                NextStep::End(result) => return result,
             }
         }
     }
 
     fn not_run(&self, reason: RefusalReason) -> AttemptResult {
-        if self.maybe_ran {
+        if self.may_have_run {
             return AttemptResult::Unknown;
         }
         AttemptResult::NotRun(Refusal::new(reason, NO_INSTANCE_RETRY_AFTER))
     }
 
-    /// The instance and its gate for the next attempt.
-    fn choose(&self) -> Option<(Instance, MemberRecord)> {
+    /// The instance for the next attempt, with the node that is its gate.
+    fn choose_instance(&self) -> Option<(Instance, MemberRecord)> {
         let node = self.node;
         let now = clock::now();
         let with_gates = self.instances_with_gates(now);
@@ -120,15 +121,15 @@
         with_gates.iter().map(candidate).collect()
     }
 
-    /// True when a refusal can be made good elsewhere: its cause is the instance or its
-    /// gate, or another instance is known to have free slots.
-    fn can_be_made_good(&self, reason: RefusalReason) -> bool {
+    /// True when another instance may accept the refused call: the cause of the refusal is the
+    /// instance or its gate, or another instance is known to have free slots.
+    fn may_succeed_elsewhere(&self, reason: RefusalReason) -> bool {
         if reason.is_local_to_instance() {
             return true;
         }
-        let for_lack_of_slots = matches!(reason, RefusalReason::PredictedWait | RefusalReason::Displaced);
+        let lacks_slots = matches!(reason, RefusalReason::PredictedWait | RefusalReason::Displaced);
         let now = clock::now();
-        for_lack_of_slots && {
+        lacks_slots && {
             let candidates = self.candidates(&self.instances_with_gates(now));
             lock(&self.node.balancer).has_free_alternative(&candidates, &self.tried, now)
         }
@@ -144,17 +145,17 @@
         let node = self.node;
         let name = instance.name.clone();
         let sent = Decision::Sent { instance: name.clone(), gate: gate.name.clone(), attempt };
-        node.note(self.call.context.request, self.call.context.hop, sent);
+        node.record_decision(self.call.context.request, self.call.context.hop, sent);
         let call = self.gate_call(instance, body, attempt);
-        let mut ending = EndOfCall::begin(node, &name);
+        let mut outstanding = OutstandingCall::start(node, &name);
         let reply = if gate.name == *node.name() {
             dispatch(node, call).await
         } else {
             forward::forward(node, &gate, call).await
         };
-        ending.observation = observation_of(&reply.result);
-        drop(ending);
-        self.learn(&name, &reply);
+        outstanding.observation = observation_of(&reply.result);
+        drop(outstanding);
+        self.record_report(&name, &reply);
         reply.result
     }
 
@@ -173,78 +174,78 @@
         }
     }
 
-    /// Learns levels and occupancy from a reply.
-    fn learn(&mut self, instance: &InstanceName, reply: &GateReply) {
+    /// Records the admission level and the occupancy that a reply reports.
+    fn record_report(&mut self, instance: &InstanceName, reply: &GateReply) {
         let now = clock::now();
-        self.outside += reply.outside;
+        self.excluded_time += reply.excluded_time;
         let context = &self.call.context;
         let class = class_of(context);
         lock(&self.node.levels).on_report(&class, &self.call.kind.service, context.hop, reply.level, now);
         lock(&self.node.balancer).on_report(instance, reply.occupancy, now);
     }
 
-    async fn judge(&mut self, result: GateResult) -> Next {
+    async fn next_step(&mut self, result: GateResult) -> NextStep {
         match result {
             GateResult::Answered(response) => {
                 if !response.status().is_server_error() {
-                    lock(&self.node.budget).on_success();
+                    lock(&self.node.retry_budget).on_success();
                 }
-                Next::End(AttemptResult::Answered(response))
+                NextStep::End(AttemptResult::Answered(response))
             }
             GateResult::Refused(refusal) => {
                 if refusal.reason == RefusalReason::InstanceLeaving
                     && let Some(instance) = self.tried.last()
                 {
-                    self.node.write_directory().note_leaving(instance, clock::now());
+                    self.node.write_directory().mark_leaving(instance, clock::now());
                 }
-                if self.can_be_made_good(refusal.reason) && self.may_retry().await {
-                    return Next::Retry;
+                if self.may_succeed_elsewhere(refusal.reason) && self.may_retry().await {
+                    return NextStep::Retry;
                 }
-                let ran = self.maybe_ran;
-                Next::End(if ran { AttemptResult::Unknown } else { AttemptResult::NotRun(refusal) })
+                let may_have_run = self.may_have_run;
+                NextStep::End(if may_have_run { AttemptResult::Unknown } else { AttemptResult::NotRun(refusal) })
             }
-            GateResult::Broken => {
-                self.maybe_ran = true;
+            GateResult::Interrupted => {
+                self.may_have_run = true;
                 if self.call.kind.repeat_safe && self.may_retry().await {
-                    return Next::Retry;
+                    return NextStep::Retry;
                 }
-                Next::End(AttemptResult::Unknown)
+                NextStep::End(AttemptResult::Unknown)
             }
         }
     }
 
-    /// Asks for a retry: time must be left, the local budget must allow it, and the
-    /// root's node must give a credit. No answer, no retry.
+    /// True when a retry is allowed: the deadline has not passed, the local retry budget allows it and
+    /// the root's node grants a credit. Without its reply there is no retry.
     async fn may_retry(&mut self) -> bool {
-        if clock::now() >= self.call.deadline || !lock(&self.node.budget).try_take() {
+        if clock::now() >= self.call.deadline || !lock(&self.node.retry_budget).try_take() {
             return false;
         }
         let granted = self.take_credit().await;
         if granted {
             self.node.metrics.retries.inc();
         }
-        self.node.note(self.call.context.request, self.call.context.hop, Decision::Retry { granted });
+        self.node.record_decision(self.call.context.request, self.call.context.hop, Decision::Retry { granted });
         granted
     }
 
     async fn take_credit(&mut self) -> bool {
         let context = &self.call.context;
         if context.root_node == *self.node.name() {
-            return lock(&self.node.ledger).take(context.request);
+            return lock(&self.node.retry_ledger).take(context.request);
         }
         let address = self.node.dial(context.root_control);
         let request = context.request;
-        let asked = self.node.control.call(address, CREDIT_TIMEOUT, |client, rpc| async move {
+        let reply = self.node.control.call(address, CREDIT_TIMEOUT, |client, rpc| async move {
             client.take_retry_credit(rpc, request).await
         });
-        asked.await.unwrap_or(false)
+        reply.await.unwrap_or(false)
     }
 }
 
 fn observation_of(result: &GateResult) -> Observation {
     match result {
         GateResult::Answered(_) => Observation::Answered,
-        GateResult::Broken => Observation::Failed,
+        GateResult::Interrupted => Observation::Failed,
         GateResult::Refused(refusal) => match refusal.reason {
             RefusalReason::InstanceUnreachable | RefusalReason::GateUnreachable => Observation::Failed,
             _ => Observation::Neutral,
@@ -252,21 +253,22 @@
     }
 }
 
-/// Counts a call as outstanding until it ends, also when its future is dropped.
-struct EndOfCall<'a> {
+/// Counts a call as outstanding at the balancer; the drop ends it, also when the future of the call
+/// is dropped.
+struct OutstandingCall<'a> {
     node: &'a Node,
     instance: &'a InstanceName,
     observation: Observation,
 }
 
-impl<'a> EndOfCall<'a> {
-    fn begin(node: &'a Node, instance: &'a InstanceName) -> Self {
+impl<'a> OutstandingCall<'a> {
+    fn start(node: &'a Node, instance: &'a InstanceName) -> Self {
         lock(&node.balancer).on_send(instance);
-        EndOfCall { node, instance, observation: Observation::Neutral }
+        OutstandingCall { node, instance, observation: Observation::Neutral }
     }
 }
 
-impl Drop for EndOfCall<'_> {
+impl Drop for OutstandingCall<'_> {
     fn drop(&mut self) {
         let now: Moment = clock::now();
         lock(&self.node.balancer).on_end(self.instance, self.observation, now);
--- a/crates/node/src/edge/claim.rs
+++ b/crates/node/src/edge/claim.rs
@@ -1,4 +1,4 @@
-//! At-most-once for keyed requests that may not be repeated.
+//! At-most-once execution of requests with an idempotency key that are not safe to retry.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 use crate::control_loops::seats;
 use crate::edge::admit::Admitted;
 use crate::explain::Decision;
-use crate::reply::{FinalAnswer, insert};
+use crate::reply::{LocalResponse, insert};
 use crate::state::{Node, lock};
 use olivegate_clock as clock;
 
-/// Longest time for a round of votes.
+/// Timeout for a round of votes, and for each call to a seat or to the holder of a claim.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time to come back when no majority of seats can be reached.
+/// `Retry-After` when no majority of the seats can be reached.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Time to come back while another attempt of the same key is running.
-const HELD_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// `Retry-After` of the response to a duplicate, such as while the first run is still going.
+const DUPLICATE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A granted claim.
 pub struct HeldClaim {
@@ -36,14 +36,15 @@
         self.key
     }
 
-    /// Gives the claim up; only for requests that were certainly not dispatched.
+    /// Releases the claim. Only for requests that were certainly not dispatched: a request that may have
+    /// run must not run again under the same key.
     pub fn abandon(self, node: &Node) {
         let node = node.clone();
         tokio::spawn(async move { abandon_everywhere(&node, self.key, self.claimant).await });
     }
 }
 
-/// What a claim needs to know of its call.
+/// The parts of a call that its claim needs.
 pub struct ClaimRequest {
     context: RequestContext,
     key: ClaimKey,
@@ -52,7 +53,7 @@
 }
 
 impl ClaimRequest {
-    /// The claim that a call needs; `None` when it carries no key or may be repeated.
+    /// The claim that a call needs; `None` when it carries no key or is safe to retry.
     pub fn of(call: &Admitted) -> Option<Self> {
         let idempotency_key = call.idempotency_key.as_ref()?;
         let text = format!("{}\n{}\n{idempotency_key}", call.context.group, call.kind.name);
@@ -65,8 +66,8 @@
     }
 }
 
-/// Takes the claim of a keyed request; `Ok(None)` when none is needed, `Err` with the
-/// final answer when the request must not run.
+/// Claims the key of a request. `Ok(None)` when no claim is needed, `Err` with the final response when
+/// the request must not run.
 pub async fn claim_if_needed(
     node: &Node,
     call: Option<ClaimRequest>,
@@ -76,21 +77,21 @@
     };
     let key = call.key;
     let claimant = Claimant { node: node.name().clone(), request: call.context.request };
-    let verdict = run_round(node, &call, &claimant).await;
-    let granted = verdict == ClaimOutcome::Granted;
-    node.note(call.context.request, call.context.hop, Decision::Claim { granted });
-    match verdict {
+    let outcome = run_round(node, &call, &claimant).await;
+    let granted = outcome == ClaimOutcome::Granted;
+    node.record_decision(call.context.request, call.context.hop, Decision::Claim { granted });
+    match outcome {
         ClaimOutcome::Granted => Ok(Some(HeldClaim { key, claimant })),
         ClaimOutcome::Held(holder) => {
             HeldClaim { key, claimant }.abandon(node);
-            Err(Box::new(answer_of_holder(node, &call, holder).await))
+            Err(Box::new(respond_to_duplicate(node, &call, holder).await))
         }
         ClaimOutcome::Pending | ClaimOutcome::Unavailable => {
             HeldClaim { key, claimant }.abandon(node);
             let reason = RefusalReason::ClaimUnavailable;
             node.metrics.on_refusal(reason);
-            let answer = FinalAnswer::not_run(reason.as_str(), UNAVAILABLE_RETRY_AFTER);
-            Err(Box::new(answer.into_response(Some(call.context.request))))
+            let response = LocalResponse::not_run(reason.as_str(), UNAVAILABLE_RETRY_AFTER);
+            Err(Box::new(response.into_response(Some(call.context.request))))
         }
     }
 }
@@ -103,7 +104,7 @@
     let mut round = ClaimRound::new(known);
     let timeout = ROUND_TIMEOUT.min(call.deadline.since(clock::now()));
     let mut votes: FuturesUnordered<_> =
-        (0..seats).map(|index| ask_seat(node, SeatIndex(index as u8), claim.clone(), timeout)).collect();
+        (0..seats).map(|index| request_vote(node, SeatIndex(index as u8), claim.clone(), timeout)).collect();
     while round.outcome() == ClaimOutcome::Pending {
         match votes.next().await {
             Some((_, Some(vote))) => round.on_vote(vote),
@@ -115,17 +116,17 @@
     round.outcome()
 }
 
-async fn ask_seat(node: &Node, seat: SeatIndex, claim: Claim, timeout: Duration) -> (SeatIndex, Option<Vote>) {
+async fn request_vote(node: &Node, seat: SeatIndex, claim: Claim, timeout: Duration) -> (SeatIndex, Option<Vote>) {
     let Some(holder) = seats::holder_of(node, seat) else {
         return (seat, None);
     };
     if holder.name == *node.name() {
         return (seat, lock(&node.seats).on_claim(seat, &claim, clock::now()));
     }
-    let asked = node.control.call(node.dial(holder.control), timeout, |client, rpc| async move {
+    let reply = node.control.call(node.dial(holder.control), timeout, |client, rpc| async move {
         client.claim(rpc, seat, claim).await
     });
-    (seat, asked.await.ok().flatten())
+    (seat, reply.await.ok().flatten())
 }
 
 async fn abandon_everywhere(node: &Node, key: ClaimKey, claimant: Claimant) {
@@ -140,52 +141,52 @@
             continue;
         }
         let claimant = claimant.clone();
-        let asked = node.control.call(node.dial(holder.control), ROUND_TIMEOUT, |client, rpc| async move {
+        let reply = node.control.call(node.dial(holder.control), ROUND_TIMEOUT, |client, rpc| async move {
             client.abandon(rpc, seat, key, claimant).await
         });
-        let _ = asked.await;
+        let _ = reply.await;
     }
 }
 
-/// The answer to a repeat: that of the first run where it is still held, else `unknown`.
-async fn answer_of_holder(node: &Node, call: &ClaimRequest, holder: Option<Claimant>) -> Response<AnyBody> {
+/// The response to a duplicate: that of the first run if its node still has it cached, else `unknown`.
+async fn respond_to_duplicate(node: &Node, call: &ClaimRequest, holder: Option<Claimant>) -> Response<AnyBody> {
     let key = call.key;
-    let kept = match holder {
-        Some(holder) if holder.node == *node.name() => lock(&node.answers).get(&key, clock::now()),
-        Some(holder) => fetch_kept(node, key, &holder).await,
+    let cached = match holder {
+        Some(holder) if holder.node == *node.name() => lock(&node.response_cache).get(&key, clock::now()),
+        Some(holder) => fetch_cached_response(node, key, &holder).await,
         None => None,
     };
-    match kept {
-        Some(kept) => repeat(call, kept),
+    match cached {
+        Some(cached) => replay(call, cached),
         None => {
             let reason = "a request with this key was accepted before; its answer is not held";
-            let answer = FinalAnswer::unknown(StatusCode::CONFLICT, reason, HELD_RETRY_AFTER);
-            answer.into_response(Some(call.context.request))
+            let response = LocalResponse::unknown(StatusCode::CONFLICT, reason, DUPLICATE_RETRY_AFTER);
+            response.into_response(Some(call.context.request))
         }
     }
 }
 
-async fn fetch_kept(node: &Node, key: ClaimKey, holder: &Claimant) -> Option<CachedResponse> {
+async fn fetch_cached_response(node: &Node, key: ClaimKey, holder: &Claimant) -> Option<CachedResponse> {
     let address = lock(&node.membership).get(&holder.node).map(|record| record.control)?;
-    let asked = node.control.call(node.dial(address), ROUND_TIMEOUT, |client, rpc| async move {
+    let reply = node.control.call(node.dial(address), ROUND_TIMEOUT, |client, rpc| async move {
         client.cached_response(rpc, key).await
     });
-    asked.await.ok().flatten()
+    reply.await.ok().flatten()
 }
 
-fn repeat(call: &ClaimRequest, kept: CachedResponse) -> Response<AnyBody> {
-    let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::BAD_GATEWAY);
+fn replay(call: &ClaimRequest, cached: CachedResponse) -> Response<AnyBody> {
+    let status = StatusCode::from_u16(cached.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let outcome = if status.is_server_error() { Outcome::Failed } else { Outcome::Ok };
-    let mut response = Response::new(body::full(kept.body));
+    let mut response = Response::new(body::full(cached.body));
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    if !kept.content_type.is_empty() {
-        insert(headers, "content-type", &kept.content_type);
+    if !cached.content_type.is_empty() {
+        insert(headers, "content-type", &cached.content_type);
     }
     insert(headers, header::OUTCOME, outcome.as_str());
     insert(headers, header::REQUEST_ID, &call.context.request.to_string());
     if outcome == Outcome::Failed {
-        crate::reply::insert_retry_after(headers, HELD_RETRY_AFTER);
+        crate::reply::insert_retry_after(headers, DUPLICATE_RETRY_AFTER);
     }
     response
 }
--- a/crates/node/src/edge/mod.rs
+++ b/crates/node/src/edge/mod.rs
@@ -1,10 +1,10 @@
-//! The edge role: takes a call, owns its one answer.
+//! The edge role: admits a call, makes its attempts and is the only one to respond to it.
 //!
-//! - [`admit`]: who calls, what is asked, under which context; refuses at the root.
-//! - [`attempts`]: chooses instances, sends, retries within the allowance.
+//! - [`admit`]: validates and classifies a call, creates its context, sheds root requests.
+//! - [`attempts`]: chooses instances, sends the call, retries within the retry limits.
 //! - [`forward`] and [`peers`]: calls to gates on other nodes.
-//! - [`claim`]: at-most-once for keyed requests that may not be repeated.
-//! - [`response`]: the final answer's headers and kept answers.
+//! - [`claim`]: at-most-once execution of requests with an idempotency key that are not safe to retry.
+//! - [`response`]: the headers of the final response, and responses cached for duplicates.
 
 pub mod admit;
 pub mod attempts;
@@ -23,11 +23,11 @@
 use crate::edge::attempts::{AttemptResult, Attempts};
 use crate::edge::claim::ClaimRequest;
 use crate::explain::Decision;
-use crate::reply::FinalAnswer;
+use crate::reply::LocalResponse;
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// Handles one call from a caller or a back end.
+/// Handles one call from a caller or a back end, from admission to the final response.
 pub async fn handle(node: &Node, request: Request<Incoming>) -> Response<AnyBody> {
     let arrived = clock::now();
     let admitted = match admit::admit(node, request, arrived).await {
@@ -41,36 +41,38 @@
 }
 
 async fn serve(node: &Node, mut admitted: Admitted, arrived: olivegate_types::Moment) -> Response<AnyBody> {
-    let before_claim = clock::now();
+    let claim_started = clock::now();
     let claim = match claim::claim_if_needed(node, ClaimRequest::of(&admitted)).await {
         Ok(claim) => claim,
-        Err(answer) => return response::finish_refused(node, &admitted, *answer),
+        Err(refusal) => return response::respond_without_running(node, &admitted, *refusal),
     };
-    let waited_for_seats = clock::now() - before_claim;
+    let claim_time = clock::now() - claim_started;
     let mut attempts = Attempts::new(node, &mut admitted);
     let result = attempts.run().await;
-    let outside = attempts.outside() + waited_for_seats;
-    let own = (clock::now() - arrived).saturating_sub(outside);
-    node.metrics.on_processing(own);
+    let excluded_time = attempts.excluded_time() + claim_time;
+    let own_processing = (clock::now() - arrived).saturating_sub(excluded_time);
+    node.metrics.on_own_processing(own_processing);
     match result {
-        AttemptResult::Answered(response) => response::finish_answered(node, admitted, response, own, claim).await,
+        AttemptResult::Answered(response) => {
+            response::respond_from_instance(node, admitted, response, own_processing, claim).await
+        }
         AttemptResult::NotRun(refusal) => {
             if let Some(claim) = claim {
                 claim.abandon(node);
             }
             node.metrics.on_refusal(refusal.reason);
-            node.note(
+            node.record_decision(
                 admitted.context.request,
                 admitted.context.hop,
                 Decision::Refused { reason: refusal.reason },
             );
-            let answer = FinalAnswer::not_run(refusal.reason.as_str(), refusal.retry_after);
-            response::finish(node, &admitted, answer)
+            let local = LocalResponse::not_run(refusal.reason.as_str(), refusal.retry_after);
+            response::respond_locally(node, &admitted, local)
         }
         AttemptResult::Unknown => {
             let status = hyper::StatusCode::GATEWAY_TIMEOUT;
-            let answer = FinalAnswer::unknown(status, "no whole answer in time", Duration::from_millis(500));
-            response::finish(node, &admitted, answer)
+            let local = LocalResponse::unknown(status, "no whole answer in time", Duration::from_millis(500));
+            response::respond_locally(node, &admitted, local)
         }
     }
 }
--- a/crates/node/src/edge/response.rs
+++ b/crates/node/src/edge/response.rs
@@ -1,4 +1,4 @@
-//! The final answer of a call.
+//! Builds the final response of a call.
 
 use std::time::Duration;
 
@@ -12,53 +12,54 @@
 use crate::edge::admit::Admitted;
 use crate::edge::claim::HeldClaim;
 use crate::explain::Decision;
-use crate::reply::{FinalAnswer, header_value, insert, insert_retry_after};
+use crate::reply::{LocalResponse, header_value, insert, insert_retry_after};
 use crate::state::{Node, lock};
 use olivegate_clock as clock;
 
-/// Time to come back after a back end failed.
+/// `Retry-After` when a back end failed.
 const FAILED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Headers of a back end's answer that are not passed on.
-const NOT_PASSED_ON: [&str; 5] =
+/// Headers of an instance's response that are not forwarded.
+const STRIPPED_HEADERS: [&str; 5] =
     ["connection", "keep-alive", "transfer-encoding", header::NOT_STARTED, header::LEAVING];
 
-/// An answer that this node makes itself.
-pub fn finish(node: &Node, call: &Admitted, answer: FinalAnswer) -> Response<AnyBody> {
-    let decision = Decision::Answered { outcome: answer.outcome, status: answer.status.as_u16() };
-    node.note(call.context.request, call.context.hop, decision);
-    node.metrics.on_answer(answer.outcome, call.context.importance);
-    answer.into_response(Some(call.context.request))
+/// Finishes a call with a response that this node makes itself.
+pub fn respond_locally(node: &Node, call: &Admitted, response: LocalResponse) -> Response<AnyBody> {
+    let decision = Decision::Answered { outcome: response.outcome, status: response.status.as_u16() };
+    node.record_decision(call.context.request, call.context.hop, decision);
+    node.metrics.on_answer(response.outcome, call.context.importance);
+    response.into_response(Some(call.context.request))
 }
 
-/// An answer that replaces running the request.
-pub fn finish_refused(node: &Node, call: &Admitted, response: Response<AnyBody>) -> Response<AnyBody> {
+/// Finishes a keyed call that must not run, with the response of the claim check: a refusal or the
+/// cached response of the first run.
+pub fn respond_without_running(node: &Node, call: &Admitted, response: Response<AnyBody>) -> Response<AnyBody> {
     let outcome = response.headers().get(header::OUTCOME).and_then(|value| value.to_str().ok());
     let outcome = outcome.and_then(Outcome::parse).unwrap_or(Outcome::Unknown);
     let decision = Decision::Answered { outcome, status: response.status().as_u16() };
-    node.note(call.context.request, call.context.hop, decision);
+    node.record_decision(call.context.request, call.context.hop, decision);
     node.metrics.on_answer(outcome, call.context.importance);
     response
 }
 
-/// Passes a back end's answer on.
-pub async fn finish_answered(
+/// Finishes a call with an instance's response and sets the outcome headers.
+pub async fn respond_from_instance(
     node: &Node,
     call: Admitted,
     mut response: Response<AnyBody>,
-    own: Duration,
+    own_processing: Duration,
     claim: Option<HeldClaim>,
 ) -> Response<AnyBody> {
     let outcome = if response.status().is_server_error() { Outcome::Failed } else { Outcome::Ok };
     let decision = Decision::Answered { outcome, status: response.status().as_u16() };
-    node.note(call.context.request, call.context.hop, decision);
+    node.record_decision(call.context.request, call.context.hop, decision);
     node.metrics.on_answer(outcome, call.context.importance);
     let headers = response.headers_mut();
-    for name in NOT_PASSED_ON {
+    for name in STRIPPED_HEADERS {
         headers.remove(name);
     }
-    let deeper: u64 = header_value(headers, header::OWN_PROCESSING_US).unwrap_or(0);
-    let own_us = own.as_micros() as u64 + deeper;
+    let deeper_own_us: u64 = header_value(headers, header::OWN_PROCESSING_US).unwrap_or(0);
+    let own_us = own_processing.as_micros() as u64 + deeper_own_us;
     insert(headers, header::OWN_PROCESSING_US, &own_us.to_string());
     insert(headers, header::OUTCOME, outcome.as_str());
     insert(headers, header::REQUEST_ID, &call.context.request.to_string());
@@ -66,31 +67,31 @@
         insert_retry_after(headers, FAILED_RETRY_AFTER);
     }
     let response = match claim {
-        Some(claim) => Keeping::of(&call, claim).keep(node, response).await,
+        Some(claim) => ResponseRecorder::of(&call, claim).record(node, response).await,
         None => response,
     };
-    guard(node, call, response)
+    hold_until_sent(node, call, response)
 }
 
-/// Holds the retry account and the count of calls in flight until the body's end.
-fn guard(node: &Node, call: Admitted, response: Response<AnyBody>) -> Response<AnyBody> {
-    let longest = Duration::from_millis(u64::from(call.bundle.bundle().limits.max_deadline_ms));
-    let until = call.deadline + longest;
-    let guard = (call.account, node.stop.enter());
+/// Keeps the retry account open and the call counted as in flight until the response body ends.
+fn hold_until_sent(node: &Node, call: Admitted, response: Response<AnyBody>) -> Response<AnyBody> {
+    let max_body_time = Duration::from_millis(u64::from(call.bundle.bundle().limits.max_deadline_ms));
+    let until = call.deadline + max_body_time;
+    let guard = (call.account, node.stop.track_request());
     response.map(|inner| GuardedBody::new(inner, guard, until).boxed_unsync())
 }
 
-/// How the answer of a claimed request is kept.
-struct Keeping {
+/// Stores the response of a claimed request, so that duplicates get the same one.
+struct ResponseRecorder {
     claim: HeldClaim,
     request: RequestId,
     memory: Duration,
     deadline: Moment,
 }
 
-impl Keeping {
+impl ResponseRecorder {
     fn of(call: &Admitted, claim: HeldClaim) -> Self {
-        Keeping {
+        ResponseRecorder {
             claim,
             request: call.context.request,
             memory: Duration::from_millis(u64::from(call.bundle.bundle().limits.claim_memory_ms)),
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Keeps a small whole answer for repeats; larger ones are passed on only.
-    async fn keep(self, node: &Node, response: Response<AnyBody>) -> Response<AnyBody> {
+    /// Buffers and stores a small response for duplicates; a larger one is only forwarded.
+    async fn record(self, node: &Node, response: Response<AnyBody>) -> Response<AnyBody> {
         let small = response.body().size_hint().upper().is_some_and(|size| size <= MAX_CACHED_BODY as u64);
         if !small {
             return response;
@@ -108,17 +109,17 @@
         let limited = Limited::new(streamed, MAX_CACHED_BODY);
         let collected = tokio::time::timeout_at(clock::instant_of(self.deadline), limited.collect()).await;
         let Ok(Ok(collected)) = collected else {
-            let answer = FinalAnswer::unknown(StatusCode::BAD_GATEWAY, "answer broke off", FAILED_RETRY_AFTER);
-            return answer.into_response(Some(self.request));
+            let failure = LocalResponse::unknown(StatusCode::BAD_GATEWAY, "answer broke off", FAILED_RETRY_AFTER);
+            return failure.into_response(Some(self.request));
         };
         let bytes = collected.to_bytes();
         let content_type = parts.headers.get("content-type").and_then(|value| value.to_str().ok());
-        let kept = CachedResponse {
+        let cached = CachedResponse {
             status: parts.status.as_u16(),
             content_type: content_type.unwrap_or_default().to_string(),
             body: bytes.to_vec(),
         };
-        lock(&node.answers).insert(self.claim.key(), kept, self.memory, clock::now());
+        lock(&node.response_cache).insert(self.claim.key(), cached, self.memory, clock::now());
         Response::from_parts(parts, body::full(bytes))
     }
 }
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -81,13 +81,13 @@
 
 /// The ring.
 #[derive(Debug, Default)]
-pub struct ExplainRing {
+pub struct DecisionLog {
     entries: VecDeque<(RequestId, u64, u8, Decision)>,
 }
 
-impl ExplainRing {
+impl DecisionLog {
     /// Notes a decision made at `unix_ms` about a request at `hop`.
-    pub fn note(&mut self, request: RequestId, unix_ms: u64, hop: u8, decision: Decision) {
+    pub fn record(&mut self, request: RequestId, unix_ms: u64, hop: u8, decision: Decision) {
         if self.entries.len() >= CAPACITY {
             self.entries.pop_front();
         }
--- a/crates/node/src/gate/dispatch.rs
+++ b/crates/node/src/gate/dispatch.rs
@@ -9,7 +9,7 @@
 use olivegate_types::{Moment, Refusal, RefusalReason, RequestContext, header};
 
 use crate::body::{AnyBody, GuardedBody};
-use crate::connections::Lease;
+use crate::connections::ConnectionGuard;
 use crate::directory::Instance;
 use crate::explain::Decision;
 use crate::gate::slots::{InstanceGate, Slot};
@@ -53,7 +53,7 @@
     /// The call was not run.
     Refused(Refusal),
     /// The exchange broke off after the request may have reached the instance.
-    Broken,
+    Interrupted,
 }
 
 /// Result with what the edge learns from it.
@@ -66,13 +66,13 @@
     pub occupancy: f64,
     /// Time not spent inside olivegate's processes: waiting for a slot, in the instance,
     /// and between two nodes.
-    pub outside: Duration,
+    pub excluded_time: Duration,
 }
 
 /// What is held until the answer's body ended: the connection, given back first, and
 /// the slot.
 struct Exchange {
-    _connection: Lease,
+    _connection: ConnectionGuard,
     _slot: Slot,
 }
 
@@ -81,11 +81,11 @@
     let class = class_of(&call.context);
     let hop = call.context.hop;
     let gate = node.gates.gate(&call.instance, call.bundle.bundle());
-    let mut outside = Duration::ZERO;
-    let result = run(node, &gate, &class, call, &mut outside).await;
+    let mut excluded_time = Duration::ZERO;
+    let result = run(node, &gate, &class, call, &mut excluded_time).await;
     let now = clock::now();
     let deeper = crate::state::lock(&node.levels).level(&class, hop + 1, now);
-    GateReply { result, level: gate.level(&class).min(deeper), occupancy: gate.occupancy(), outside }
+    GateReply { result, level: gate.level(&class).min(deeper), occupancy: gate.occupancy(), excluded_time }
 }
 
 /// Class under which a call is shed.
@@ -102,7 +102,7 @@
     gate: &Arc<InstanceGate>,
     class: &ClassKey,
     call: GateCall,
-    outside: &mut Duration,
+    excluded_time: &mut Duration,
 ) -> GateResult {
     if let Some(reason) = obstacle(node, &call) {
         return refused(reason);
@@ -123,15 +123,15 @@
     let slot = match gate.acquire(demand, class).await {
         Ok(slot) => slot,
         Err(refusal) => {
-            *outside = clock::now() - arrived;
+            *excluded_time = clock::now() - arrived;
             return GateResult::Refused(refusal);
         }
     };
     let waited = clock::now() - arrived;
-    *outside = waited;
+    *excluded_time = waited;
     let decision = Decision::Dispatched { instance: call.instance.name.clone(), waited };
-    node.note(call.context.request, call.context.hop, decision);
-    exchange(node, gate, slot, call, outside).await
+    node.record_decision(call.context.request, call.context.hop, decision);
+    exchange(node, gate, slot, call, excluded_time).await
 }
 
 /// Reasons not to dispatch that are checked on arrival and again last before the write.
@@ -151,7 +151,7 @@
     gate: &Arc<InstanceGate>,
     slot: Slot,
     mut call: GateCall,
-    outside: &mut Duration,
+    excluded_time: &mut Duration,
 ) -> GateResult {
     let mut request = build_request(node, &mut call);
     for _ in 0..STALE_CONNECTIONS {
@@ -169,8 +169,8 @@
         match answer.await {
             Ok(Ok(response)) => {
                 let service = clock::now() - sent;
-                *outside += service;
-                let lease = Lease::new(gate.connections().clone(), connection);
+                *excluded_time += service;
+                let lease = ConnectionGuard::new(gate.connections().clone(), connection);
                 let exchange = Exchange { _connection: lease, _slot: slot };
                 return answered(node, gate, &call, response, exchange, service);
             }
@@ -182,10 +182,10 @@
                 }
                 None => {
                     gate.on_failure();
-                    return GateResult::Broken;
+                    return GateResult::Interrupted;
                 }
             },
-            Err(_) => return GateResult::Broken,
+            Err(_) => return GateResult::Interrupted,
         }
     }
     refused(RefusalReason::InstanceUnreachable)
@@ -218,7 +218,7 @@
 ) -> GateResult {
     let is_set = |name| header_text(response.headers(), name) == Some("true");
     if is_set(header::LEAVING) {
-        node.write_directory().note_leaving(&call.instance.name, clock::now());
+        node.write_directory().mark_leaving(&call.instance.name, clock::now());
     }
     if is_set(header::NOT_STARTED) {
         if is_set(header::LEAVING) {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -99,7 +99,7 @@
     }
 
     /// Notes own processing time of one call.
-    pub fn on_processing(&self, own: Duration) {
+    pub fn on_own_processing(&self, own: Duration) {
         self.own_processing.observe(own.as_secs_f64());
     }
 
--- a/crates/node/src/ports/admin.rs
+++ b/crates/node/src/ports/admin.rs
@@ -76,7 +76,7 @@
 }
 
 async fn explain(node: &Node, request: RequestId) -> Response<AnyBody> {
-    let mut lines = lock(&node.explain).lines(request, node.name());
+    let mut lines = lock(&node.decisions).lines(request, node.name());
     let peers: Vec<_> = {
         let membership = lock(&node.membership);
         membership.others().filter(|record| record.is_answering()).map(|record| record.control).collect()
@@ -111,7 +111,7 @@
         "seats": seat_status(node),
         "gates": gate_status(node),
         "admission_levels": level_status(node, now),
-        "open_retry_accounts": lock(&node.ledger).len(),
+        "open_retry_accounts": lock(&node.retry_ledger).len(),
         "freezes": lock(&node.membership).freezes(),
     })
 }
--- a/crates/node/src/ports/caller.rs
+++ b/crates/node/src/ports/caller.rs
@@ -30,7 +30,7 @@
     let service = service_fn(|request| {
         let node = node.clone();
         async move {
-            let in_flight = node.stop.enter();
+            let in_flight = node.stop.track_request();
             let mut response = edge::handle(&node, request).await;
             close_when_stopping(&mut response, &node.stop);
             drop(in_flight);
--- a/crates/node/src/ports/control.rs
+++ b/crates/node/src/ports/control.rs
@@ -43,7 +43,7 @@
     }
 
     async fn take_retry_credit(self, _: Context, request: RequestId) -> bool {
-        lock(&self.node.ledger).take(request)
+        lock(&self.node.retry_ledger).take(request)
     }
 
     async fn claim(self, _: Context, seat: SeatIndex, claim: Claim) -> Option<Vote> {
@@ -68,7 +68,7 @@
     }
 
     async fn cached_response(self, _: Context, key: ClaimKey) -> Option<CachedResponse> {
-        lock(&self.node.answers).get(&key, clock::now())
+        lock(&self.node.response_cache).get(&key, clock::now())
     }
 
     async fn bundle_stamp(self, _: Context) -> Stamp {
@@ -81,6 +81,6 @@
     }
 
     async fn explain(self, _: Context, request: RequestId) -> Vec<String> {
-        lock(&self.node.explain).lines(request, self.node.name())
+        lock(&self.node.decisions).lines(request, self.node.name())
     }
 }
--- a/crates/node/src/ports/data.rs
+++ b/crates/node/src/ports/data.rs
@@ -16,7 +16,7 @@
 use crate::gate::dispatch::GateResult;
 use crate::gate::{GateCall, GateReply, dispatch};
 use crate::ports::{accept, close_when_stopping, serve_until_closing};
-use crate::reply::{FinalAnswer, header_text, header_value};
+use crate::reply::{LocalResponse, header_text, header_value};
 use crate::state::Node;
 use olivegate_clock as clock;
 
@@ -39,7 +39,7 @@
         let node = node.clone();
         async move {
             let stopping = node.stop.clone();
-            let in_flight = node.stop.enter();
+            let in_flight = node.stop.track_request();
             let response = handle(&node, request).await;
             let mut guarded = response.map(|inner| guard(inner, in_flight));
             close_when_stopping(&mut guarded, &stopping);
@@ -57,7 +57,7 @@
 /// Longest time for an answer's body, after which it is broken off.
 const LONGEST_BODY: Duration = Duration::from_secs(120);
 
-fn guard(inner: AnyBody, in_flight: crate::stop::InFlight) -> AnyBody {
+fn guard(inner: AnyBody, in_flight: crate::stop::InFlightGuard) -> AnyBody {
     let guarded = body::GuardedBody::new(inner, in_flight, clock::now() + LONGEST_BODY);
     http_body_util::BodyExt::boxed_unsync(guarded)
 }
@@ -70,12 +70,12 @@
             write_reply(reply, clock::now() - arrived)
         }
         Err(ReadError::Bad(reason)) => {
-            FinalAnswer::bad_request(StatusCode::BAD_REQUEST, reason).into_response(None)
+            LocalResponse::bad_request(StatusCode::BAD_REQUEST, reason).into_response(None)
         }
         Err(ReadError::Refused(reason)) => {
             let refusal = Refusal::new(reason, UNKNOWN_INSTANCE_RETRY_AFTER);
             let result = GateResult::Refused(refusal);
-            let reply = GateReply { result, level: 1.0, occupancy: 0.0, outside: Duration::ZERO };
+            let reply = GateReply { result, level: 1.0, occupancy: 0.0, excluded_time: Duration::ZERO };
             write_reply(reply, Duration::ZERO)
         }
     }
@@ -98,7 +98,8 @@
     let kind = KindName::new(kind);
     let remaining: u64 = header_value(headers, header::REMAINING_US).ok_or(ReadError::Bad("time is missing"))?;
     let attempt = header_value(headers, header::ATTEMPT).unwrap_or(0);
-    let bundle = node.bundle_of(context.bundle_version).ok_or(ReadError::Refused(RefusalReason::NodeNotReady))?;
+    let bundle =
+        node.bundle_for_version(context.bundle_version).ok_or(ReadError::Refused(RefusalReason::NodeNotReady))?;
     let unknown = ReadError::Refused(RefusalReason::GateUnreachable);
     let kind = bundle.bundle().kind(&kind).cloned().ok_or(unknown)?;
     let instance = node.instance(&instance).ok_or(ReadError::Refused(RefusalReason::GateUnreachable))?;
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -13,7 +13,7 @@
 
 /// A final answer to the caller.
 #[derive(Debug, Clone)]
-pub struct FinalAnswer {
+pub struct LocalResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// What became of the request.
@@ -24,15 +24,15 @@
     pub retry_after: Option<Duration>,
 }
 
-impl FinalAnswer {
+impl LocalResponse {
     /// The request itself is at fault.
     pub fn bad_request(status: StatusCode, reason: impl Into<String>) -> Self {
-        FinalAnswer { status, outcome: Outcome::NotRun, reason: reason.into(), retry_after: None }
+        LocalResponse { status, outcome: Outcome::NotRun, reason: reason.into(), retry_after: None }
     }
 
     /// The request was not run; come back later.
     pub fn not_run(reason: impl Into<String>, retry_after: Duration) -> Self {
-        FinalAnswer {
+        LocalResponse {
             status: StatusCode::SERVICE_UNAVAILABLE,
             outcome: Outcome::NotRun,
             reason: reason.into(),
@@ -42,7 +42,7 @@
 
     /// The request may have run.
     pub fn unknown(status: StatusCode, reason: impl Into<String>, retry_after: Duration) -> Self {
-        FinalAnswer { status, outcome: Outcome::Unknown, reason: reason.into(), retry_after: Some(retry_after) }
+        LocalResponse { status, outcome: Outcome::Unknown, reason: reason.into(), retry_after: Some(retry_after) }
     }
 
     /// The HTTP response.
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -18,7 +18,7 @@
 use crate::control_loops::seats::SeatTable;
 use crate::directory::{Directory, Instance};
 use crate::edge::peers::PeerPool;
-use crate::explain::{Decision, ExplainRing};
+use crate::explain::{Decision, DecisionLog};
 use crate::gate::GateTable;
 use crate::metrics::Metrics;
 use crate::settings::{ListenAddresses, NodeSettings};
@@ -66,17 +66,17 @@
     /// Admission levels learnt from replies.
     pub levels: Mutex<LevelTable>,
     /// Retry credits of own root requests.
-    pub ledger: Mutex<RetryLedger>,
+    pub retry_ledger: Mutex<RetryLedger>,
     /// Local retry budget.
-    pub budget: Mutex<RetryBudget>,
+    pub retry_budget: Mutex<RetryBudget>,
     /// Gates of instances.
     pub gates: GateTable,
     /// Seats held here.
     pub seats: Mutex<SeatTable>,
     /// Answers kept for repeats.
-    pub answers: Mutex<ResponseCache>,
+    pub response_cache: Mutex<ResponseCache>,
     /// Recent decisions.
-    pub explain: Mutex<ExplainRing>,
+    pub decisions: Mutex<DecisionLog>,
     /// Metrics.
     pub metrics: Metrics,
     /// Control connections.
@@ -116,12 +116,12 @@
             directory: RwLock::default(),
             balancer: Mutex::default(),
             levels: Mutex::default(),
-            ledger: Mutex::default(),
-            budget: Mutex::default(),
+            retry_ledger: Mutex::default(),
+            retry_budget: Mutex::default(),
             gates: GateTable::default(),
             seats: Mutex::new(SeatTable::new(settings.seat_zones.len())),
-            answers: Mutex::default(),
-            explain: Mutex::default(),
+            response_cache: Mutex::default(),
+            decisions: Mutex::default(),
             metrics: Metrics::default(),
             control: ControlPool::new(settings.key.clone()),
             peers: PeerPool::default(),
@@ -143,7 +143,7 @@
     }
 
     /// The bundle of this version if it is still kept, else the one in force.
-    pub fn bundle_of(&self, version: u64) -> Option<Arc<IndexedBundle>> {
+    pub fn bundle_for_version(&self, version: u64) -> Option<Arc<IndexedBundle>> {
         let in_force = self.in_force.read().unwrap_or_else(std::sync::PoisonError::into_inner);
         let exact = in_force.iter().find(|bundle| bundle.stamp().version == version);
         exact.or(in_force.front()).cloned()
@@ -212,8 +212,8 @@
     }
 
     /// Notes a decision for `explain`.
-    pub fn note(&self, request: RequestId, hop: u8, decision: Decision) {
-        lock(&self.explain).note(request, clock::unix_ms(), hop, decision);
+    pub fn record_decision(&self, request: RequestId, hop: u8, decision: Decision) {
+        lock(&self.decisions).record(request, clock::unix_ms(), hop, decision);
     }
 
     /// The address at which a member is dialled from here.
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -24,7 +24,7 @@
 
 /// A call in flight; dropped when its answer has been sent whole.
 #[derive(Debug)]
-pub struct InFlight(StopSignal);
+pub struct InFlightGuard(StopSignal);
 
 impl StopSignal {
     /// Starts the stop.
@@ -65,9 +65,9 @@
     }
 
     /// Counts a call until the result is dropped.
-    pub fn enter(&self) -> InFlight {
+    pub fn track_request(&self) -> InFlightGuard {
         self.0.in_flight.fetch_add(1, Ordering::SeqCst);
-        InFlight(self.clone())
+        InFlightGuard(self.clone())
     }
 
     /// Calls in flight.
@@ -86,7 +86,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
