--- a/crates/node/src/gate/dispatch.rs
+++ b/crates/node/src/gate/dispatch.rs
@@ -1,4 +1,4 @@
-//! One call, from its arrival at the gate to the head of the answer.
+//! Dispatches one call: from its arrival at the gate to the response head.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,18 +17,19 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// Times that a stale idle connection is replaced before the instance counts as unreachable.
-const STALE_CONNECTIONS: usize = 3;
-/// Time to come back after a refusal that has nothing to do with load.
-const LOCAL_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Connections tried before the instance counts as unreachable: an idle connection may prove stale when
+/// the request is sent.
+const MAX_CONNECTION_TRIES: usize = 3;
+/// `Retry-After` of a refusal that is not caused by load.
+const LOCAL_REFUSAL_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A call as it reaches the gate.
+/// A call as its gate receives it.
 pub struct GateCall {
-    /// Context of the call.
+    /// Request context.
     pub context: RequestContext,
-    /// Bundle that governs it.
+    /// Bundle version under which the call is served.
     pub bundle: Arc<IndexedBundle>,
-    /// Kind of this hop.
+    /// Kind of the request at this hop.
     pub kind: Kind,
     /// The chosen instance.
     pub instance: Instance,
@@ -36,27 +37,27 @@
     pub attempt: u32,
     /// Deadline on this node's clock.
     pub deadline: Moment,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers, already free of hop-by-hop and reserved ones.
+    /// Headers to forward, without hop-by-hop and reserved ones.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: AnyBody,
 }
 
-/// What became of a call at the gate.
+/// Result of a call at the gate.
 pub enum GateResult {
-    /// The instance answered.
+    /// The instance responded.
     Answered(Response<AnyBody>),
     /// The call was not run.
     Refused(Refusal),
-    /// The exchange broke off after the request may have reached the instance.
+    /// The exchange failed after the request may have reached the instance.
     Interrupted,
 }
 
-/// Result with what the edge learns from it.
+/// Result of a call with the load report for the edge.
 pub struct GateReply {
     /// The result.
     pub result: GateResult,
@@ -64,19 +65,19 @@
     pub level: f64,
     /// Occupancy of the instance.
     pub occupancy: f64,
-    /// Time not spent inside olivegate's processes: waiting for a slot, in the instance,
-    /// and between two nodes.
+    /// Time that doesn't count as own processing: waiting for a slot, in the instance, and between
+    /// two nodes.
     pub excluded_time: Duration,
 }
 
-/// What is held until the answer's body ended: the connection, given back first, and
-/// the slot.
-struct Exchange {
+/// Held until the response body has ended. The field order matters: the connection returns to its pool
+/// before the slot is released.
+struct ExchangeGuard {
     _connection: ConnectionGuard,
     _slot: Slot,
 }
 
-/// Takes a call through the queue to its instance.
+/// Waits for a slot of the instance, sends it the call and returns the reply for the edge.
 pub async fn dispatch(node: &Node, call: GateCall) -> GateReply {
     let class = class_of(&call.context);
     let hop = call.context.hop;
@@ -88,13 +89,13 @@
     GateReply { result, level: gate.level(&class).min(deeper), occupancy: gate.occupancy(), excluded_time }
 }
 
-/// Class under which a call is shed.
+/// The class by which a call is admitted or shed.
 pub fn class_of(context: &RequestContext) -> ClassKey {
     ClassKey { root_kind: context.root_kind.clone(), group: context.group.clone(), importance: context.importance }
 }
 
 fn refused(reason: RefusalReason) -> GateResult {
-    GateResult::Refused(Refusal::new(reason, LOCAL_RETRY_AFTER))
+    GateResult::Refused(Refusal::new(reason, LOCAL_REFUSAL_RETRY_AFTER))
 }
 
 async fn run(
@@ -104,13 +105,13 @@
     call: GateCall,
     excluded_time: &mut Duration,
 ) -> GateResult {
-    if let Some(reason) = obstacle(node, &call) {
+    if let Some(reason) = refusal_reason(node, &call) {
         return refused(reason);
     }
     let arrived = clock::now();
-    let unseen = Duration::from_millis(u64::from(call.kind.expected_ms));
-    let expected = gate.expected(&call.kind.name, unseen, call.deadline.since(arrived));
-    let demand = SlotRequest {
+    let default = Duration::from_millis(u64::from(call.kind.expected_ms));
+    let expected = gate.expected_service_time(&call.kind.name, default, call.deadline.since(arrived));
+    let slot_request = SlotRequest {
         importance: call.context.importance,
         group: call.context.group.clone(),
         weight: call.bundle.weight(&call.context.group),
@@ -120,7 +121,7 @@
         expected,
         max_wait: None,
     };
-    let slot = match gate.acquire(demand, class).await {
+    let slot = match gate.acquire(slot_request, class).await {
         Ok(slot) => slot,
         Err(refusal) => {
             *excluded_time = clock::now() - arrived;
@@ -134,8 +135,9 @@
     exchange(node, gate, slot, call, excluded_time).await
 }
 
-/// Reasons not to dispatch that are checked on arrival and again last before the write.
-fn obstacle(node: &Node, call: &GateCall) -> Option<RefusalReason> {
+/// The reason not to dispatch a call, if there is one. It is checked on arrival, and again right before
+/// the request is written because the wait for a slot may have taken long.
+fn refusal_reason(node: &Node, call: &GateCall) -> Option<RefusalReason> {
     let now = clock::now();
     if now >= call.deadline {
         return Some(RefusalReason::DeadlineExceeded);
@@ -154,25 +156,25 @@
     excluded_time: &mut Duration,
 ) -> GateResult {
     let mut request = build_request(node, &mut call);
-    for _ in 0..STALE_CONNECTIONS {
+    for _ in 0..MAX_CONNECTION_TRIES {
         let Ok((mut connection, reused)) = gate.connections().take().await else {
             gate.on_failure();
             return refused(RefusalReason::InstanceUnreachable);
         };
-        if let Some(reason) = obstacle(node, &call) {
+        if let Some(reason) = refusal_reason(node, &call) {
             return refused(reason);
         }
         node.metrics.dispatches.inc();
         let sent = clock::now();
-        let answer =
+        let response =
             tokio::time::timeout_at(clock::instant_of(call.deadline), connection.try_send_request(request));
-        match answer.await {
+        match response.await {
             Ok(Ok(response)) => {
-                let service = clock::now() - sent;
-                *excluded_time += service;
-                let lease = ConnectionGuard::new(gate.connections().clone(), connection);
-                let exchange = Exchange { _connection: lease, _slot: slot };
-                return answered(node, gate, &call, response, exchange, service);
+                let service_time = clock::now() - sent;
+                *excluded_time += service_time;
+                let connection = ConnectionGuard::new(gate.connections().clone(), connection);
+                let guard = ExchangeGuard { _connection: connection, _slot: slot };
+                return on_response_head(node, gate, &call, response, guard, service_time);
             }
             Ok(Err(mut error)) => match error.take_message() {
                 Some(unsent) if reused => request = unsent,
@@ -208,13 +210,13 @@
     request
 }
 
-fn answered(
+fn on_response_head(
     node: &Node,
     gate: &Arc<InstanceGate>,
     call: &GateCall,
     response: Response<hyper::body::Incoming>,
-    exchange: Exchange,
-    service: Duration,
+    guard: ExchangeGuard,
+    service_time: Duration,
 ) -> GateResult {
     let is_set = |name| header_text(response.headers(), name) == Some("true");
     if is_set(header::LEAVING) {
@@ -227,12 +229,12 @@
         gate.on_refused();
         return refused(RefusalReason::BackEndRefused);
     }
-    gate.on_answer(&call.kind.name, service);
+    gate.on_answer(&call.kind.name, service_time);
     let (mut parts, body) = response.into_parts();
     for name in [header::OUTCOME, header::REASON, header::RETRY_AFTER_MS] {
         parts.headers.remove(name);
     }
-    let longest = Duration::from_millis(u64::from(call.bundle.bundle().limits.max_deadline_ms));
-    let body = GuardedBody::new(crate::body::incoming(body), exchange, call.deadline + longest);
+    let max_body_time = Duration::from_millis(u64::from(call.bundle.bundle().limits.max_deadline_ms));
+    let body = GuardedBody::new(crate::body::incoming(body), guard, call.deadline + max_body_time);
     GateResult::Answered(Response::from_parts(parts, http_body_util::BodyExt::boxed_unsync(body)))
 }
--- a/crates/node/src/gate/mod.rs
+++ b/crates/node/src/gate/mod.rs
@@ -1,9 +1,9 @@
 //! The gate role: the one place that dispatches calls to an instance.
 //!
 //! - [`table`]: gates by instance.
-//! - [`slots`]: the queue with its waiting futures; a [`slots::Slot`] is held while
-//!   a call is in the instance.
-//! - [`mod@dispatch`]: one call, from its arrival at the gate to the head of the answer.
+//! - [`slots`]: the queue of an instance and the tasks that wait in it; a [`slots::Slot`] is held
+//!   while the instance works on a call.
+//! - [`mod@dispatch`]: one call, from its arrival at the gate to the response head.
 
 pub mod dispatch;
 pub mod slots;
--- a/crates/node/src/gate/slots.rs
+++ b/crates/node/src/gate/slots.rs
@@ -1,4 +1,4 @@
-//! The queue of an instance with the futures that wait in it.
+//! The queue of an instance and the tasks that wait in it for a slot.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use crate::state::lock;
 use olivegate_clock as clock;
 
-/// A wait may be this much longer than the longest one accepted in prediction.
+/// A call leaves the queue after this factor times the longest predicted wait that is accepted.
 const WAIT_TOLERANCE: f64 = 1.25;
 
 type Grant = Result<(), RefusalReason>;
@@ -30,53 +30,53 @@
 }
 
 impl QueueState {
-    /// How an accepted demand counts for the admission level of its class.
-    fn accepted(&self, demand: &SlotRequest, now: Moment) -> Arrival {
+    /// The arrival that is recorded for the admission level of a class if the queue accepts the request.
+    fn accepted_arrival(&self, request: &SlotRequest, now: Moment) -> Arrival {
         if self.queue.has_free_slots() {
             return Arrival::Accepted { wait_ratio: 0.0 };
         }
-        let wait = self.queue.predicted_wait(demand, now).as_secs_f64();
+        let wait = self.queue.predicted_wait(request, now).as_secs_f64();
         Arrival::Accepted { wait_ratio: wait / self.max_wait.as_secs_f64() }
     }
 
-    fn note(&mut self, class: &ClassKey, arrival: Arrival, now: Moment) {
+    fn record(&mut self, class: &ClassKey, arrival: Arrival, now: Moment) {
         let has_free_slots = self.queue.has_free_slots();
         self.levels.record(class, arrival, has_free_slots, now);
     }
 }
 
-/// Queue, limit and connections of one instance.
+/// Queue, concurrency limit and connections of one instance.
 pub struct InstanceGate {
     address: SocketAddr,
     state: Mutex<QueueState>,
     connections: Arc<ConnectionPool>,
 }
 
-/// A slot of the instance; dropped when the call has left it.
+/// A slot of the instance; dropping it releases the slot and wakes the next waiting call.
 pub struct Slot {
     gate: Arc<InstanceGate>,
     ticket: TicketId,
 }
 
-/// A ticket that waits or holds a slot; released when dropped.
-struct Ticket {
+/// Releases a ticket that waits or holds a slot when a call is cancelled or refused while it waits.
+struct TicketGuard {
     gate: Arc<InstanceGate>,
     ticket: Option<TicketId>,
 }
 
-/// What a gate shows of itself.
+/// Counters of a gate for the status page.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GateStatus {
     /// Calls that hold a slot.
     pub in_flight: u32,
-    /// Calls that wait.
+    /// Calls that wait for a slot.
     pub waiting: u32,
-    /// Calls that may hold a slot.
+    /// Concurrency limit: calls that may hold a slot at the same time.
     pub limit: u32,
 }
 
 impl InstanceGate {
-    /// The gate of the instance at `address` with `slots`.
+    /// The gate of the instance at `address`; `slots` is the initial concurrency limit.
     pub fn new(address: SocketAddr, settings: QueueSettings, slots: u32) -> Self {
         let state = QueueState {
             queue: InstanceQueue::new(settings, AdaptiveLimit::new(slots, false)),
@@ -93,19 +93,19 @@
         self.address
     }
 
-    /// Connections to the instance.
+    /// Connection pool of the instance.
     pub fn connections(&self) -> &Arc<ConnectionPool> {
         &self.connections
     }
 
-    /// Follows a new bundle.
+    /// Applies new queue settings and slots.
     pub fn configure(&self, settings: QueueSettings, slots: u32) {
         let mut state = lock(&self.state);
         state.max_wait = settings.max_wait;
         state.queue.configure(settings, slots);
     }
 
-    /// Counts for status.
+    /// Counters for the status page.
     pub fn status(&self) -> GateStatus {
         let state = lock(&self.state);
         GateStatus {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Calls in flight and waiting, over the limit.
+    /// Calls in flight and waiting, divided by the concurrency limit.
     pub fn occupancy(&self) -> f64 {
         lock(&self.state).queue.occupancy()
     }
@@ -125,56 +125,56 @@
         lock(&self.state).levels.level(class)
     }
 
-    /// Expected service time of a kind, as a call with this time left is judged by; `unseen` before the
-    /// first observation.
-    pub fn expected(&self, kind: &KindName, unseen: Duration, time_left: Duration) -> Duration {
-        lock(&self.state).service_times.for_request(kind.as_str(), unseen, time_left, clock::now())
+    /// Expected service time of a kind against which a call with this time left is checked; `default`
+    /// before the first observation.
+    pub fn expected_service_time(&self, kind: &KindName, default: Duration, time_left: Duration) -> Duration {
+        lock(&self.state).service_times.for_request(kind.as_str(), default, time_left, clock::now())
     }
 
-    /// Notes that the instance answered a call of `kind` after `service`.
-    pub fn on_answer(&self, kind: &KindName, service: Duration) {
+    /// Records that the instance answered a call of `kind` after `service_time`.
+    pub fn on_answer(&self, kind: &KindName, service_time: Duration) {
         let mut state = lock(&self.state);
         let in_flight = state.queue.in_flight();
         state.queue.limit_mut().on_success(in_flight);
-        state.service_times.record(kind.as_str(), service, clock::now());
+        state.service_times.record(kind.as_str(), service_time, clock::now());
     }
 
-    /// Notes that the instance refused before starting.
+    /// Records that the instance refused a call without starting it.
     pub fn on_refused(&self) {
         lock(&self.state).queue.limit_mut().on_refused(clock::now());
     }
 
-    /// Notes a broken connection.
+    /// Records a failed connection or exchange.
     pub fn on_failure(&self) {
         lock(&self.state).queue.limit_mut().on_failure(clock::now());
     }
 
-    /// Waits for a slot, or is refused.
-    pub async fn acquire(self: &Arc<Self>, demand: SlotRequest, class: &ClassKey) -> Result<Slot, Refusal> {
+    /// Acquires a slot, waiting in the queue if necessary, or returns the refusal.
+    pub async fn acquire(self: &Arc<Self>, request: SlotRequest, class: &ClassKey) -> Result<Slot, Refusal> {
         let now = clock::now();
-        let (ticket, waiting) = match self.arrive(demand.clone(), class, now) {
-            Ok(arrived) => arrived,
+        let (ticket, waiting) = match self.submit(request.clone(), class, now) {
+            Ok(submitted) => submitted,
             Err(refusal) => return Err(refusal),
         };
-        let mut guard = Ticket { gate: self.clone(), ticket: Some(ticket) };
+        let mut guard = TicketGuard { gate: self.clone(), ticket: Some(ticket) };
         if let Some(waiting) = waiting {
-            self.wait(waiting, &demand, class, now).await?;
+            self.wait(waiting, &request, class, now).await?;
         }
         guard.ticket = None;
         Ok(Slot { gate: self.clone(), ticket })
     }
 
-    fn arrive(
+    fn submit(
         &self,
-        demand: SlotRequest,
+        request: SlotRequest,
         class: &ClassKey,
         now: Moment,
     ) -> Result<(TicketId, Option<oneshot::Receiver<Grant>>), Refusal> {
         let mut state = lock(&self.state);
-        let accepted = state.accepted(&demand, now);
-        let admission = state.queue.submit(demand, now);
+        let accepted = state.accepted_arrival(&request, now);
+        let admission = state.queue.submit(request, now);
         let refused = matches!(admission, Admission::Refuse(_));
-        state.note(class, if refused { Arrival::Refused } else { accepted }, now);
+        state.record(class, if refused { Arrival::Refused } else { accepted }, now);
         match admission {
             Admission::Dispatch(ticket) => Ok((ticket, None)),
             Admission::Wait { ticket, displaced } => {
@@ -192,12 +192,12 @@
     async fn wait(
         &self,
         waiting: oneshot::Receiver<Grant>,
-        demand: &SlotRequest,
+        request: &SlotRequest,
         class: &ClassKey,
         arrived: Moment,
     ) -> Result<(), Refusal> {
-        let until = self.wait_until(demand, arrived);
-        let granted = tokio::time::timeout_at(clock::instant_of(until), waiting).await;
+        let deadline = self.wait_deadline(request, arrived);
+        let granted = tokio::time::timeout_at(clock::instant_of(deadline), waiting).await;
         let reason = match granted {
             Ok(Ok(Ok(()))) => None,
             Ok(Ok(Err(reason))) => Some(reason),
@@ -207,19 +207,19 @@
             return Ok(());
         };
         let mut state = lock(&self.state);
-        state.note(class, Arrival::Refused, clock::now());
-        Err(state.queue.refusal(reason, demand))
+        state.record(class, Arrival::Refused, clock::now());
+        Err(state.queue.refusal(reason, request))
     }
 
-    /// Point at which a waiting call gives up: it could no longer be answered in time,
-    /// or, below the protected importance, its wait is longer than the objective allows.
-    fn wait_until(&self, demand: &SlotRequest, arrived: Moment) -> Moment {
-        let longest = lock(&self.state).queue.max_wait(demand, arrived);
-        let by_deadline = demand.deadline.saturating_sub(demand.expected);
-        by_deadline.min(arrived + longest.mul_f64(WAIT_TOLERANCE))
+    /// The time at which a waiting call is refused: when it could no longer be answered before its
+    /// deadline, or, below the protected importance, when it has waited longer than the objective allows.
+    fn wait_deadline(&self, request: &SlotRequest, arrived: Moment) -> Moment {
+        let max_wait = lock(&self.state).queue.max_wait(request, arrived);
+        let by_deadline = request.deadline.saturating_sub(request.expected);
+        by_deadline.min(arrived + max_wait.mul_f64(WAIT_TOLERANCE))
     }
 
-    /// Gives up a ticket, whether it waits or holds a slot, and wakes the next.
+    /// Releases a ticket, whether it waits or holds a slot, and wakes the calls that get a slot.
     fn release(&self, ticket: TicketId) {
         let now = clock::now();
         let mut state = lock(&self.state);
@@ -235,7 +235,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for TicketGuard {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket.take() {
             self.gate.release(ticket);
--- a/crates/node/src/gate/table.rs
+++ b/crates/node/src/gate/table.rs
@@ -1,4 +1,4 @@
-//! Gates by instance.
+//! The gates of this node, by instance.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -11,22 +11,22 @@
 use crate::gate::slots::InstanceGate;
 use crate::state::lock;
 
-/// Most waiting calls per slot.
+/// Queue capacity: waiting calls per slot of the instance.
 const WAITING_PER_SLOT: u32 = 8;
 
-/// All gates of this node, made when first needed.
+/// All gates of this node, created on first use.
 #[derive(Default)]
 pub struct GateTable {
     gates: Mutex<HashMap<InstanceName, (ServiceName, Arc<InstanceGate>)>>,
 }
 
-/// Queue settings that a bundle implies.
+/// Queue settings derived from a bundle.
 fn queue_settings(bundle: &Bundle) -> QueueSettings {
     QueueSettings { max_wait: bundle.objective.max_queue_wait(), waiting_per_slot: WAITING_PER_SLOT }
 }
 
 impl GateTable {
-    /// The gate of `instance`.
+    /// The gate of `instance`; a new one when the instance has changed its address.
     pub fn gate(&self, instance: &Instance, bundle: &Bundle) -> Arc<InstanceGate> {
         let mut gates = lock(&self.gates);
         if let Some((_, gate)) = gates.get(&instance.name).filter(|(_, gate)| gate.address() == instance.address) {
@@ -38,12 +38,12 @@
         gate
     }
 
-    /// Occupancy of an instance whose gate is here.
+    /// Occupancy of an instance, if this node has its gate.
     pub fn occupancy(&self, instance: &InstanceName) -> Option<f64> {
         lock(&self.gates).get(instance).map(|(_, gate)| gate.occupancy())
     }
 
-    /// Follows a new bundle.
+    /// Applies the queue settings and slots of a new bundle.
     pub fn configure(&self, bundle: &Bundle) {
         for (service, gate) in lock(&self.gates).values() {
             let slots = bundle.service(service).map_or(1, |service| service.slots);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// All gates, for status.
+    /// All gates sorted by instance name, for the status page.
     pub fn all(&self) -> Vec<(InstanceName, Arc<InstanceGate>)> {
         let mut gates: Vec<_> =
             lock(&self.gates).iter().map(|(name, (_, gate))| (name.clone(), gate.clone())).collect();
