--- a/crates/node/src/app.rs
+++ b/crates/node/src/app.rs
@@ -124,7 +124,7 @@
 /// Waits until other nodes recovered this node's seats: it keeps answering them.
 async fn hand_over_seats(node: &Node) {
     let handed_over = async {
-        while !lock(&node.seats).holds_no_vote() {
+        while !lock(&node.seats).holds_no_voting_seat() {
             tokio::time::sleep(LOOK_INTERVAL).await;
         }
     };
--- a/crates/node/src/control_loops/bundle.rs
+++ b/crates/node/src/control_loops/bundle.rs
@@ -1,9 +1,9 @@
-//! Reads, accepts and spreads bundle versions.
+//! Fetches, installs and propagates bundle versions.
 //!
-//! A few nodes of each zone poll the configuration service. A node that accepts a
-//! version passes it on at once to some random members: as a signed delta when that
-//! fits into a datagram, else as a version to be fetched. Heartbeats carry the version
-//! in force, so whoever missed the news fetches it from the sender.
+//! A few nodes of each zone poll the configuration service. A node that accepts a version
+//! announces it at once to some random members: as a signed delta if that fits into a
+//! datagram, else as a version number for them to fetch. Heartbeats carry the version in
+//! force, so a node that missed the announcement fetches the bundle from the sender.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -21,13 +21,13 @@
 use crate::fetch;
 use crate::state::{Node, lock};
 
-/// Nodes of a zone that poll the configuration service.
+/// Number of nodes in each zone that poll the configuration service.
 const POLLERS_PER_ZONE: usize = 2;
-/// Time limit for reads and fetches.
+/// Timeout for a read from the configuration service or from a peer.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between two attempts to learn the floor.
+/// Interval between two attempts to learn the version floor.
 const FLOOR_INTERVAL: Duration = Duration::from_millis(100);
-/// Path at the configuration service.
+/// Path of the bundle at the configuration service.
 const BUNDLE_PATH: &str = "/bundle";
 
 /// Polls the configuration service while this node is one of its zone's pollers.
@@ -37,16 +37,16 @@
     loop {
         if is_poller(&node) {
             match read(&node).await {
-                Ok(signed) => last_error = report(offer(&node, signed), last_error),
-                Err(error) => last_error = report(Err(error), last_error),
+                Ok(signed) => last_error = log_changed_error(offer(&node, signed), last_error),
+                Err(error) => last_error = log_changed_error(Err(error), last_error),
             }
         }
         tokio::time::sleep(poll).await;
     }
 }
 
-/// Logs a failure once, until it changes.
-fn report(result: Result<(), BundleError>, last_error: String) -> String {
+/// Logs an error unless it is the same as the last one, and returns it for the next comparison.
+fn log_changed_error(result: Result<(), BundleError>, last_error: String) -> String {
     let error = result.err().map(|error| error.to_string()).unwrap_or_default();
     if !error.is_empty() && error != last_error {
         log::warn!("event=bundle_not_accepted source=configuration_service reason={error:?}");
@@ -57,7 +57,8 @@
 fn is_poller(node: &Node) -> bool {
     let membership = lock(&node.membership);
     let zone = membership.usable_in(&node.settings.zone);
-    let pollers = rendezvous::owners("configuration poller", zone.iter(), |r| r.name.as_str(), POLLERS_PER_ZONE);
+    let pollers =
+        rendezvous::owners("configuration poller", zone.iter(), |record| record.name.as_str(), POLLERS_PER_ZONE);
     pollers.iter().any(|record| record.name == *node.name())
 }
 
@@ -72,14 +73,14 @@
     SignedBundle::from_bytes(&fetched.body)
 }
 
-/// Offers a whole bundle to the store and spreads it when it is accepted.
+/// Offers a complete bundle to the store; an accepted one is put in force and announced.
 fn offer(node: &Node, signed: SignedBundle) -> Result<(), BundleError> {
     let outcome = lock(&node.bundles).offer(signed)?;
-    take_effect(node, outcome);
+    apply_offer(node, outcome);
     Ok(())
 }
 
-fn take_effect(node: &Node, outcome: OfferOutcome) {
+fn apply_offer(node: &Node, outcome: OfferOutcome) {
     match outcome {
         OfferOutcome::AlreadyInForce => return,
         OfferOutcome::Accepted(stamp) => log::info!("event=bundle_in_force version={stamp}"),
@@ -99,7 +100,7 @@
     }
 }
 
-/// Tells some random members of the version in force.
+/// Announces the version in force to some random members.
 pub fn announce(node: &Node) {
     let (stamp, delta) = {
         let store = lock(&node.bundles);
@@ -109,9 +110,9 @@
         return;
     }
     let from = node.name().clone();
-    let full = delta.map(|delta| Datagram::Delta { from: from.clone(), delta: (*delta).clone() });
-    let small = full.filter(|datagram| datagram.to_bytes(&node.settings.key).len() <= MAX_DATAGRAM);
-    let datagram = small.unwrap_or(Datagram::Version { from, stamp });
+    let unbounded = delta.map(|delta| Datagram::Delta { from: from.clone(), delta: (*delta).clone() });
+    let delta_datagram = unbounded.filter(|datagram| datagram.to_bytes(&node.settings.key).len() <= MAX_DATAGRAM);
+    let datagram = delta_datagram.unwrap_or(Datagram::Version { from, stamp });
     for to in random_members(node) {
         send(node, to, &datagram);
     }
@@ -124,22 +125,22 @@
     others.sample(&mut rand::rng(), FANOUT).copied().collect()
 }
 
-/// A delta arrives from a member.
+/// Handles a delta from a member.
 pub fn on_delta(node: &Node, from: &NodeName, delta: BundleDelta) {
     let action = propagation::on_delta(&mut lock(&node.bundles), &delta);
-    carry_out(node, from, action);
+    apply_action(node, from, action);
 }
 
-/// A member says which version it has: a higher one is fetched from it.
+/// Handles a member's version: a higher one is fetched from it.
 pub fn on_version(node: &Node, from: &NodeName, stamp: Stamp) {
     let action = propagation::on_version(&lock(&node.bundles), stamp);
-    carry_out(node, from, action);
+    apply_action(node, from, action);
 }
 
-fn carry_out(node: &Node, from: &NodeName, action: PropagationAction) {
+fn apply_action(node: &Node, from: &NodeName, action: PropagationAction) {
     match action {
         PropagationAction::Nothing => {}
-        PropagationAction::Propagate(offer) => take_effect(node, offer),
+        PropagationAction::Propagate(offer) => apply_offer(node, offer),
         PropagationAction::Fetch => {
             let address = lock(&node.membership).get(from).map(|record| record.control);
             if let Some(address) = address {
@@ -154,8 +155,8 @@
 
 async fn fetch_from(node: Node, announced: SocketAddr) {
     let address = node.dial(announced);
-    let fetched = node.control.call(address, FETCH_TIMEOUT, |client, rpc| async move { client.bundle(rpc).await });
-    let Ok(Some(bytes)) = fetched.await else {
+    let reply = node.control.call(address, FETCH_TIMEOUT, |client, rpc| async move { client.bundle(rpc).await });
+    let Ok(Some(bytes)) = reply.await else {
         return;
     };
     let offered = match SignedBundle::from_bytes(&bytes) {
@@ -168,10 +169,10 @@
     }
 }
 
-/// Learns from peers which version must not be left, before the node serves.
+/// Learns the version floor, below which no bundle may be used, from peers before the node serves.
 ///
-/// At least one peer must answer, unless the settings name none: a node that is alone
-/// can't tell a stale configuration service from a current one.
+/// At least one peer must reply, unless the settings list no peers: without one, a node can't tell a
+/// stale configuration service from a current one.
 pub async fn learn_floor(node: Node) {
     let own = node.addresses.control;
     let seeds: Vec<SocketAddr> = node.settings.seeds.iter().copied().filter(|seed| *seed != own).collect();
@@ -179,10 +180,10 @@
     while !learnt {
         for seed in &seeds {
             let address = node.dial(*seed);
-            let asked = node
+            let reply = node
                 .control
                 .call(address, FETCH_TIMEOUT, |client, rpc| async move { client.bundle_stamp(rpc).await });
-            if let Ok(stamp) = asked.await {
+            if let Ok(stamp) = reply.await {
                 learnt = true;
                 lock(&node.bundles).raise_floor(stamp);
                 if stamp.version > 0 {
--- a/crates/node/src/control_loops/health.rs
+++ b/crates/node/src/control_loops/health.rs
@@ -1,7 +1,7 @@
-//! Asks the instances of this node's gates whether they are leaving.
+//! Polls the instances of this node's gates for whether they are leaving.
 //!
-//! Only "leaving" is believed: health and load endpoints lag or mislead, so everything
-//! else is judged by own observations of calls.
+//! Nothing else is taken from the response: health and load endpoints lag or mislead, so every other
+//! decision about an instance relies on this node's own observations of calls.
 
 use std::time::Duration;
 
@@ -13,35 +13,35 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// Time between two rounds.
+/// Interval between two rounds of checks.
 const INTERVAL: Duration = Duration::from_millis(400);
-/// Time limit for one answer.
+/// Timeout for one check.
 const TIMEOUT: Duration = Duration::from_millis(300);
-/// Path at the instances.
+/// Path of the health endpoint of an instance.
 const HEALTH_PATH: &str = "/health";
-/// Largest answer, in bytes.
-const MAX_ANSWER: usize = 16 << 10;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE: usize = 16 << 10;
 
-/// Asks again and again.
+/// Checks the instances periodically.
 pub async fn poll(node: Node) {
     loop {
         tokio::time::sleep(INTERVAL).await;
         let instances: Vec<Instance> = node.read_directory().all().cloned().collect();
-        let own = instances.into_iter().filter(|instance| is_own_gate(&node, instance));
-        let asked = own.map(|instance| ask(&node, instance));
-        futures::future::join_all(asked).await;
+        let with_gate_here = instances.into_iter().filter(|instance| has_gate_here(&node, instance));
+        let checks = with_gate_here.map(|instance| check_instance(&node, instance));
+        futures::future::join_all(checks).await;
     }
 }
 
-fn is_own_gate(node: &Node, instance: &Instance) -> bool {
+fn has_gate_here(node: &Node, instance: &Instance) -> bool {
     node.gate_of(instance).is_some_and(|gate| gate.name == *node.name())
 }
 
-async fn ask(node: &Node, instance: Instance) {
-    let Ok(answer) = fetch::get(instance.address, HEALTH_PATH, MAX_ANSWER, TIMEOUT).await else {
+async fn check_instance(node: &Node, instance: Instance) {
+    let Ok(response) = fetch::get(instance.address, HEALTH_PATH, MAX_RESPONSE, TIMEOUT).await else {
         return;
     };
-    let leaving = header_text(&answer.headers, header::LEAVING) == Some("true");
+    let leaving = header_text(&response.headers, header::LEAVING) == Some("true");
     let mut directory = node.write_directory();
     if leaving {
         directory.mark_leaving(&instance.name, clock::now());
--- a/crates/node/src/control_loops/membership.rs
+++ b/crates/node/src/control_loops/membership.rs
@@ -1,4 +1,4 @@
-//! Datagrams and the failure detector.
+//! Control datagrams and the failure detector.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::state::{Node, lock};
 use olivegate_clock as clock;
 
-/// Time between two ticks of the detector.
+/// Interval between two ticks of the failure detector.
 const TICK: Duration = Duration::from_millis(25);
-/// Time limit for fetching all records of a peer.
+/// Timeout for fetching all member records of a peer.
 const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest datagram accepted, in bytes.
+/// Maximum size of a received datagram, in bytes.
 const RECEIVE_BUFFER: usize = 64 << 10;
 
-/// Drives the detector.
+/// Drives the failure detector.
 pub async fn tick(node: Node) {
     let mut interval = tokio::time::interval(TICK);
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -29,7 +29,7 @@
     }
 }
 
-/// Receives datagrams.
+/// Receives control datagrams and dispatches them.
 pub async fn receive(node: Node) {
     let mut buffer = vec![0; RECEIVE_BUFFER];
     loop {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Carries out what the membership core asks for.
+/// Performs the I/O that the membership state machine requests.
 pub fn apply_outputs(node: &Node, outputs: Vec<Output>) {
     for output in outputs {
         match output {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Sends a datagram to a member's announced control address; a full socket buffer drops it.
+/// Sends a datagram to a member's announced control address. It is dropped when the socket buffer is full.
 pub fn send(node: &Node, to: SocketAddr, datagram: &Datagram) {
     let bytes = datagram.to_bytes(&node.settings.key);
     node.metrics.control_bytes.with_label_values(&["sent"]).inc_by(bytes.len() as u64);
@@ -90,8 +90,8 @@
 
 async fn sync(node: Node, from: SocketAddr) {
     let address = node.dial(from);
-    let fetched = node.control.call(address, SYNC_TIMEOUT, |client, rpc| async move { client.members(rpc).await });
-    let Ok(records) = fetched.await else {
+    let reply = node.control.call(address, SYNC_TIMEOUT, |client, rpc| async move { client.members(rpc).await });
+    let Ok(records) = reply.await else {
         return;
     };
     let outputs = lock(&node.membership).merge(records, clock::now());
--- a/crates/node/src/control_loops/mod.rs
+++ b/crates/node/src/control_loops/mod.rs
@@ -1,10 +1,10 @@
-//! The node's background work.
+//! The node's background tasks.
 //!
-//! - [`membership`]: datagrams and the failure detector.
-//! - [`bundle`]: reads, accepts and spreads bundle versions.
-//! - [`seats`]: takes and hands over seats of the claim group.
-//! - [`platform`]: the platform's lagging list of machines.
-//! - [`health`]: asks the instances of this node's gates whether they are leaving.
+//! - [`membership`]: control datagrams and the failure detector.
+//! - [`bundle`]: fetches, installs and propagates bundle versions.
+//! - [`seats`]: takes, recovers and hands over seats of the claim group.
+//! - [`platform`]: polls the platform's list of machines.
+//! - [`health`]: polls the instances of this node's gates for whether they are leaving.
 
 pub mod bundle;
 pub mod health;
@@ -14,13 +14,13 @@
 
 use crate::state::Node;
 
-/// Starts all loops.
+/// Starts all background tasks.
 pub fn start(node: &Node) {
     tokio::spawn(membership::receive(node.clone()));
     tokio::spawn(membership::tick(node.clone()));
     tokio::spawn(bundle::learn_floor(node.clone()));
     tokio::spawn(bundle::poll(node.clone()));
-    tokio::spawn(seats::keep(node.clone()));
+    tokio::spawn(seats::maintain(node.clone()));
     tokio::spawn(platform::poll(node.clone()));
     tokio::spawn(health::poll(node.clone()));
 }
--- a/crates/node/src/control_loops/platform.rs
+++ b/crates/node/src/control_loops/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of machines.
+//! Polls the platform's list of machines, which lags behind the real state.
 
 use std::time::Duration;
 
@@ -8,21 +8,22 @@
 use crate::state::{Node, lock};
 use error_stack::{Report, ResultExt};
 
-/// Path of the list.
+/// Path of the list at the platform's member service.
 const MEMBERS_PATH: &str = "/members";
-/// Largest list, in bytes.
+/// Maximum size of the list, in bytes.
 const MAX_LIST: usize = 64 << 20;
-/// Time limit for a read.
+/// Timeout for a read.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads the list again and again; a failed read leaves the last list in use.
+/// Reads the list periodically. A failed read leaves the last list in use; only the first of a series of
+/// failures is logged.
 pub async fn poll(node: Node) {
     let mut failing = false;
     loop {
         match read(&node).await {
             Ok(list) => {
                 failing = false;
-                take_over(&node, &list);
+                apply_list(&node, &list);
             }
             Err(error) if !failing => {
                 failing = true;
@@ -39,7 +40,7 @@
     serde_json::from_slice(&fetched.body).change_context(NodeError::Platform)
 }
 
-fn take_over(node: &Node, list: &MachineList) {
+fn apply_list(node: &Node, list: &MachineList) {
     let mut seeds = node.settings.seeds.clone();
     seeds.extend(list.nodes.iter().map(|listed| listed.control));
     lock(&node.membership).set_seeds(seeds);
--- a/crates/node/src/control_loops/seats.rs
+++ b/crates/node/src/control_loops/seats.rs
@@ -1,10 +1,10 @@
-//! Takes and hands over seats of the claim group.
+//! Takes, recovers and hands over seats of the claim group.
 //!
-//! Each seat belongs to a zone, by the settings, and there to a usable member, by
-//! rendezvous hashing. A node that finds itself responsible for a seat that it doesn't
-//! hold starts a new incarnation and recovers; the previous holder's votes stop
-//! counting by then. No zone has a majority of the seats, so nodes that are cut off
-//! with their zone can never form a group among themselves.
+//! The settings assign each seat to a zone, and rendezvous hashing assigns it to a usable
+//! member of that zone. A node that is responsible for a seat that it doesn't hold starts
+//! a new incarnation of the seat and recovers its claims; once it votes, the votes of the
+//! previous holder no longer count. No zone has a majority of the seats, so the nodes of a
+//! partitioned zone can never form a quorum among themselves.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,16 +19,16 @@
 use crate::state::{Node, lock};
 use olivegate_clock as clock;
 
-/// Time between two looks at the seats.
+/// Interval between two checks of the seats.
 const INTERVAL: Duration = Duration::from_millis(100);
-/// Time limit for a recovery call.
+/// Timeout for a recovery call.
 const RECOVERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for which a node must be responsible for a seat before it takes it.
+/// A node takes a seat only after it has been responsible for it for this time.
 const SETTLING_TIME: Duration = Duration::from_millis(800);
-/// Longest memory of a claim assumed before a bundle is in force.
+/// Time that claims are kept if no bundle is in force yet.
 const DEFAULT_CLAIM_MEMORY: Duration = Duration::from_secs(600);
 
-/// Seats held by this node and the incarnations it knows.
+/// Seats held by this node, and the seat incarnations that it knows.
 #[derive(Debug)]
 pub struct SeatTable {
     held: BTreeMap<SeatIndex, Seat>,
@@ -37,7 +37,7 @@
 }
 
 impl SeatTable {
-    /// No seat held, of a group of `seats`.
+    /// A table without held seats, for a claim group of `seats` seats.
     pub fn new(seats: usize) -> Self {
         SeatTable {
             held: BTreeMap::new(),
@@ -46,31 +46,31 @@
         }
     }
 
-    /// Incarnations known here.
+    /// Known incarnations of all seats.
     pub fn known(&self) -> &IncarnationVector {
         &self.known
     }
 
-    /// Learns incarnations.
-    pub fn learn(&mut self, vector: &IncarnationVector) {
+    /// Merges incarnations learned from another node.
+    pub fn merge_known(&mut self, vector: &IncarnationVector) {
         self.known.merge(vector);
     }
 
-    /// The vote of a seat held here.
+    /// The vote of a seat; `None` when this node does not hold it.
     pub fn on_claim(&mut self, seat: SeatIndex, claim: &Claim, now: Moment) -> Option<Vote> {
         let vote = self.held.get_mut(&seat)?.on_claim(claim, now);
         self.known.merge(&vote.vector);
         Some(vote)
     }
 
-    /// Drops an unused claim at a seat held here.
+    /// Drops an unused claim from a seat, if this node holds it.
     pub fn on_abandon(&mut self, seat: SeatIndex, key: ClaimKey, claimant: &Claimant) {
         if let Some(seat) = self.held.get_mut(&seat) {
             seat.on_abandon(key, claimant);
         }
     }
 
-    /// Another seat announces itself to a seat held here.
+    /// Handles another seat's recovery request at a seat held here.
     pub fn on_recover(
         &mut self,
         seat: SeatIndex,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Seats held, for heartbeats and status.
+    /// Held seats that are not retired, for heartbeats.
     pub fn announced(&self) -> Vec<HeldSeat> {
         let live = self.held.values().filter(|seat| seat.mode() != SeatMode::Retired);
         let announced = |seat: &Seat| HeldSeat {
@@ -95,30 +95,30 @@
         live.map(announced).collect()
     }
 
-    /// Seats held with their state and number of claims, for status.
+    /// Held seats with their mode and number of claims, for the status page.
     pub fn status(&self) -> Vec<(SeatIndex, SeatMode, usize)> {
         self.held.values().map(|seat| (seat.index(), seat.mode(), seat.claim_count())).collect()
     }
 
-    /// True when no seat that votes is held.
-    pub fn holds_no_vote(&self) -> bool {
+    /// True when this node holds no voting seat.
+    pub fn holds_no_voting_seat(&self) -> bool {
         self.held.values().all(|seat| seat.mode() != SeatMode::Voting)
     }
 
-    /// Starts seats for which this node has been responsible long enough.
+    /// Starts the seats for which this node has been responsible for the settling time.
     fn take_seats(&mut self, node: &Node, responsible: &[SeatIndex], now: Moment) {
         self.responsible_since.retain(|seat, _| responsible.contains(seat));
         for seat in responsible {
             let since = *self.responsible_since.entry(*seat).or_insert(now);
             let holds = self.held.get(seat).is_some_and(|held| held.mode() != SeatMode::Retired);
             if !holds && now.since(since) >= SETTLING_TIME {
-                let started = self.start(node, *seat, now);
+                let started = self.start_seat(node, *seat, now);
                 self.held.insert(*seat, started);
             }
         }
     }
 
-    fn start(&self, node: &Node, seat: SeatIndex, now: Moment) -> Seat {
+    fn start_seat(&self, node: &Node, seat: SeatIndex, now: Moment) -> Seat {
         let known = self.known.get(seat).map_or(0, |incarnation| incarnation.counter);
         let counter = clock::unix_ms().max(known + 1);
         let incarnation = Incarnation { counter, holder: node.name().clone() };
@@ -129,13 +129,13 @@
         Seat::recovering(seat, self.known.len(), incarnation, memory, node.settings.new_deployment, now)
     }
 
-    /// Recovering seats with their incarnations.
+    /// Held seats that are recovering, with their incarnations.
     fn recovering(&self) -> Vec<(SeatIndex, Incarnation)> {
         let recovering = self.held.values().filter(|seat| seat.mode() == SeatMode::Recovering);
         recovering.map(|seat| (seat.index(), seat.incarnation().clone())).collect()
     }
 
-    fn on_reply(&mut self, seat: SeatIndex, reply: RecoveryReply, now: Moment) {
+    fn on_recovery_reply(&mut self, seat: SeatIndex, reply: RecoveryReply, now: Moment) {
         let Some(held) = self.held.get_mut(&seat) else {
             return;
         };
@@ -149,7 +149,7 @@
     }
 }
 
-/// The member responsible for a seat; none while no other member is known.
+/// The member responsible for a seat; `None` while this node knows no other member.
 fn responsible_for<'a>(
     membership: &'a Membership,
     seat_zones: &[ZoneName],
@@ -162,12 +162,12 @@
     rendezvous::owner(&key, in_zone.iter(), |record| record.name.as_str()).copied()
 }
 
-/// The member that holds a seat: the voting one of the latest incarnation, else the
-/// one responsible.
+/// The member that holds a seat. Of the members that announce it, a voting one comes first, then the one
+/// with the latest incarnation. If none announces it, the holder is the member responsible for the seat.
 pub fn holder_of(node: &Node, seat: SeatIndex) -> Option<MemberRecord> {
     let membership = lock(&node.membership);
-    let everyone = std::iter::once(membership.own()).chain(membership.others());
-    let announced = everyone.filter(|record| record.is_answering()).flat_map(|record| {
+    let members = std::iter::once(membership.own()).chain(membership.others());
+    let announced = members.filter(|record| record.is_answering()).flat_map(|record| {
         let held = record.seats.iter().filter(|held| held.index == seat.0);
         held.map(move |held| (held.voting, held.counter, record))
     });
@@ -178,15 +178,15 @@
     holder.cloned()
 }
 
-/// Keeps this node's seats.
-pub async fn keep(node: Node) {
+/// Periodically takes, expires and recovers this node's seats and updates its member record.
+pub async fn maintain(node: Node) {
     loop {
         tokio::time::sleep(INTERVAL).await;
         if !node.is_ready() {
             continue;
         }
         let now = clock::now();
-        let responsible = seats_of(&node);
+        let responsible = own_seats(&node);
         let recovering = {
             let mut table = lock(&node.seats);
             table.take_seats(&node, &responsible, now);
@@ -203,33 +203,33 @@
     }
 }
 
-fn seats_of(node: &Node) -> Vec<SeatIndex> {
+fn own_seats(node: &Node) -> Vec<SeatIndex> {
     let membership = lock(&node.membership);
     let zones = &node.settings.seat_zones;
     let own = |seat: &SeatIndex| {
         responsible_for(&membership, zones, *seat).is_some_and(|record| record.name == *node.name())
     };
-    all_seats(node).filter(own).collect()
+    group_seats(node).filter(own).collect()
 }
 
-/// All seats of the group.
-fn all_seats(node: &Node) -> impl Iterator<Item = SeatIndex> + use<> {
+/// All seats of the claim group.
+fn group_seats(node: &Node) -> impl Iterator<Item = SeatIndex> + use<> {
     (0..node.settings.seat_zones.len()).map(|index| SeatIndex(index as u8))
 }
 
 async fn recover(node: &Node, recovering: SeatIndex, incarnation: Incarnation) {
-    for seat in all_seats(node).filter(|seat| *seat != recovering) {
+    for seat in group_seats(node).filter(|seat| *seat != recovering) {
         let Some(holder) = holder_of(node, seat) else {
             continue;
         };
-        let reply = ask(node, &holder, seat, recovering, &incarnation).await;
+        let reply = request_recovery(node, &holder, seat, recovering, &incarnation).await;
         if let Some(reply) = reply {
-            lock(&node.seats).on_reply(recovering, reply, clock::now());
+            lock(&node.seats).on_recovery_reply(recovering, reply, clock::now());
         }
     }
 }
 
-async fn ask(
+async fn request_recovery(
     node: &Node,
     holder: &MemberRecord,
     seat: SeatIndex,
@@ -240,8 +240,8 @@
         return Some(lock(&node.seats).on_recover(seat, recovering, incarnation, clock::now()));
     }
     let incarnation = incarnation.clone();
-    let asked = node.control.call(node.dial(holder.control), RECOVERY_TIMEOUT, |client, rpc| async move {
+    let reply = node.control.call(node.dial(holder.control), RECOVERY_TIMEOUT, |client, rpc| async move {
         client.recover(rpc, seat, recovering, incarnation).await
     });
-    asked.await.ok()
+    reply.await.ok()
 }
--- a/crates/node/src/edge/claim.rs
+++ b/crates/node/src/edge/claim.rs
@@ -112,7 +112,7 @@
             None => break,
         }
     }
-    lock(&node.seats).learn(round.known());
+    lock(&node.seats).merge_known(round.known());
     round.outcome()
 }
 
