--- a/crates/node/src/ports/admin.rs
+++ b/crates/node/src/ports/admin.rs
@@ -1,4 +1,4 @@
-//! Status, metrics and explanations for operators.
+//! Admin port: health checks, status, metrics and request explanations for operators.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::stop::StopSignal;
 use olivegate_clock as clock;
 
-/// Time limit for asking each peer for its explanation.
+/// Timeout for fetching the decisions about a request from each peer.
 const EXPLAIN_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Serves the port until the process ends.
@@ -65,14 +65,14 @@
     if node.is_ready() && !node.stop.is_stopping() {
         return text(StatusCode::OK, "ready\n");
     }
-    let why = json!({
+    let details = json!({
         "bundle": lock(&node.bundles).stamp().to_string(),
         "floor": lock(&node.bundles).floor().to_string(),
         "floor_learnt": node.floor_learnt.load(std::sync::atomic::Ordering::Relaxed),
         "view_fresh": node.is_view_fresh(),
         "stopping": node.stop.is_stopping(),
     });
-    text(StatusCode::SERVICE_UNAVAILABLE, format!("not ready: {why}\n"))
+    text(StatusCode::SERVICE_UNAVAILABLE, format!("not ready: {details}\n"))
 }
 
 async fn explain(node: &Node, request: RequestId) -> Response<AnyBody> {
@@ -81,13 +81,13 @@
         let membership = lock(&node.membership);
         membership.others().filter(|record| record.is_answering()).map(|record| record.control).collect()
     };
-    let asked = peers.into_iter().map(|peer| {
+    let replies = peers.into_iter().map(|peer| {
         node.control.call(node.dial(peer), EXPLAIN_TIMEOUT, move |client, rpc| async move {
             client.explain(rpc, request).await
         })
     });
-    for answer in futures::future::join_all(asked).await.into_iter().flatten() {
-        lines.extend(answer);
+    for reply in futures::future::join_all(replies).await.into_iter().flatten() {
+        lines.extend(reply);
     }
     if lines.is_empty() {
         return text(StatusCode::NOT_FOUND, "no node remembers this request\n");
@@ -96,7 +96,7 @@
     text(StatusCode::OK, lines.join("\n") + "\n")
 }
 
-/// Everything a node shows of itself.
+/// The status page of this node.
 fn status(node: &Node) -> Value {
     let now = clock::now();
     json!({
--- a/crates/node/src/ports/caller.rs
+++ b/crates/node/src/ports/caller.rs
@@ -1,4 +1,4 @@
-//! Plain HTTP/1.1 from callers and back ends.
+//! Caller port: plain HTTP/1.1 from callers and back ends.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use crate::ports::{accept, close_when_stopping, serve_until_closing};
 use crate::state::Node;
 
-/// Time for a caller to send its request head.
+/// Timeout for reading a request head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Largest request head, in bytes.
-const MAX_HEAD: usize = 16 << 10;
-/// Most headers of a request.
+/// Maximum size of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
 /// Serves the port until the node stops.
@@ -40,7 +40,7 @@
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
-        .max_buf_size(MAX_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .max_headers(MAX_HEADERS)
         .serve_connection(TokioIo::new(stream), service);
     serve_until_closing(serving, &stop, "caller").await;
--- a/crates/node/src/ports/control.rs
+++ b/crates/node/src/ports/control.rs
@@ -1,4 +1,4 @@
-//! Control calls from other nodes.
+//! Control port: calls from other nodes about membership, claims, retry credits and bundles.
 
 use futures::StreamExt;
 use olivegate_bundle::Stamp;
@@ -16,25 +16,25 @@
 use crate::state::{Node, lock};
 use olivegate_clock as clock;
 
-/// Calls of one connection that run at a time.
-const CONCURRENT_CALLS: usize = 256;
+/// Maximum number of calls of one connection that run concurrently.
+const MAX_CONCURRENT_CALLS: usize = 256;
 
 #[derive(Clone)]
 struct Server {
     node: Node,
 }
 
-/// Serves the port until the node has stopped.
+/// Serves the port until the process exits: during a stop, peers still need the control calls.
 pub async fn serve(node: Node, listener: TcpListener) {
-    let never = crate::stop::StopSignal::default();
-    accept(listener, never, |stream| connection(node.clone(), stream)).await;
+    let never_stops = crate::stop::StopSignal::default();
+    accept(listener, never_stops, |stream| connection(node.clone(), stream)).await;
 }
 
 async fn connection(node: Node, stream: TcpStream) {
     let transport = server_transport(stream, node.settings.key.clone());
     let server = Server { node };
-    let calls = BaseChannel::with_defaults(transport).execute(server.serve());
-    calls.for_each_concurrent(CONCURRENT_CALLS, |call| call).await;
+    let requests = BaseChannel::with_defaults(transport).execute(server.serve());
+    requests.for_each_concurrent(MAX_CONCURRENT_CALLS, |request| request).await;
 }
 
 impl Control for Server {
--- a/crates/node/src/ports/data.rs
+++ b/crates/node/src/ports/data.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 from other nodes' edges to this node's gates.
+//! Data port: HTTP/1.1 from other nodes' edges to this node's gates.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -20,11 +20,11 @@
 use crate::state::Node;
 use olivegate_clock as clock;
 
-/// Largest request head, in bytes: the caller port's and what edges add.
-const MAX_HEAD: usize = 32 << 10;
-/// Most headers of a request.
+/// Maximum size of a request head, in bytes: that of the caller port plus the headers that edges add.
+const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Maximum number of headers of a request: those of the caller port plus those that edges add.
 const MAX_HEADERS: usize = 80;
-/// Time to come back when an instance is not known here.
+/// `Retry-After` when this node does not know the instance.
 const UNKNOWN_INSTANCE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Serves the port until the node stops.
@@ -41,24 +41,24 @@
             let stopping = node.stop.clone();
             let in_flight = node.stop.track_request();
             let response = handle(&node, request).await;
-            let mut guarded = response.map(|inner| guard(inner, in_flight));
+            let mut guarded = response.map(|inner| track_until_sent(inner, in_flight));
             close_when_stopping(&mut guarded, &stopping);
             Ok::<_, Infallible>(guarded)
         }
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        .max_buf_size(MAX_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .max_headers(MAX_HEADERS)
         .serve_connection(TokioIo::new(stream), service);
     serve_until_closing(serving, &stop, "data").await;
 }
 
-/// Longest time for an answer's body, after which it is broken off.
-const LONGEST_BODY: Duration = Duration::from_secs(120);
+/// Maximum time for a response body; it is cut off after that.
+const MAX_BODY_TIME: Duration = Duration::from_secs(120);
 
-fn guard(inner: AnyBody, in_flight: crate::stop::InFlightGuard) -> AnyBody {
-    let guarded = body::GuardedBody::new(inner, in_flight, clock::now() + LONGEST_BODY);
+fn track_until_sent(inner: AnyBody, in_flight: crate::stop::InFlightGuard) -> AnyBody {
+    let guarded = body::GuardedBody::new(inner, in_flight, clock::now() + MAX_BODY_TIME);
     http_body_util::BodyExt::boxed_unsync(guarded)
 }
 
@@ -69,7 +69,7 @@
             let reply = dispatch(node, call).await;
             write_reply(reply, clock::now() - arrived)
         }
-        Err(ReadError::Bad(reason)) => {
+        Err(ReadError::Invalid(reason)) => {
             LocalResponse::bad_request(StatusCode::BAD_REQUEST, reason).into_response(None)
         }
         Err(ReadError::Refused(reason)) => {
@@ -81,22 +81,26 @@
     }
 }
 
+/// Why a call from another node's edge is not dispatched.
 enum ReadError {
-    Bad(&'static str),
+    /// A header is missing or invalid.
+    Invalid(&'static str),
+    /// The bundle, the kind or the instance is not known here.
     Refused(RefusalReason),
 }
 
 fn read_call(node: &Node, request: Request<Incoming>, arrived: Moment) -> Result<GateCall, ReadError> {
     let (mut parts, incoming) = request.into_parts();
     let headers = &parts.headers;
-    let context = header_text(headers, header::CONTEXT).ok_or(ReadError::Bad("context is missing"))?;
+    let context = header_text(headers, header::CONTEXT).ok_or(ReadError::Invalid("context is missing"))?;
     let context = RequestContext::from_header(context, &node.settings.key);
-    let context = context.map_err(|_| ReadError::Bad("context was not made by this deployment"))?;
-    let instance = header_text(headers, header::INSTANCE).ok_or(ReadError::Bad("instance is missing"))?;
+    let context = context.map_err(|_| ReadError::Invalid("context was not made by this deployment"))?;
+    let instance = header_text(headers, header::INSTANCE).ok_or(ReadError::Invalid("instance is missing"))?;
     let instance = InstanceName::new(instance);
-    let kind = header_text(headers, header::KIND).ok_or(ReadError::Bad("kind is missing"))?;
+    let kind = header_text(headers, header::KIND).ok_or(ReadError::Invalid("kind is missing"))?;
     let kind = KindName::new(kind);
-    let remaining: u64 = header_value(headers, header::REMAINING_US).ok_or(ReadError::Bad("time is missing"))?;
+    let remaining: u64 =
+        header_value(headers, header::REMAINING_US).ok_or(ReadError::Invalid("time is missing"))?;
     let attempt = header_value(headers, header::ATTEMPT).unwrap_or(0);
     let bundle =
         node.bundle_for_version(context.bundle_version).ok_or(ReadError::Refused(RefusalReason::NodeNotReady))?;
--- a/crates/node/src/ports/mod.rs
+++ b/crates/node/src/ports/mod.rs
@@ -1,8 +1,8 @@
-//! The node's ports.
+//! The node's listening ports.
 //!
 //! - [`caller`]: plain HTTP/1.1 from callers and back ends.
 //! - [`data`]: HTTP/1.1 from other nodes' edges to this node's gates.
-//! - [`control`]: tarpc calls from other nodes.
+//! - [`control`]: control calls from other nodes, over tarpc.
 //! - [`admin`]: status, metrics and explanations for operators.
 
 pub mod admin;
@@ -27,17 +27,17 @@
 use crate::error::NodeError;
 use crate::stop::StopSignal;
 
-/// Most connections of one port.
+/// Maximum number of connections of one port.
 pub const MAX_CONNECTIONS: usize = 20_000;
 /// Pause after a failed accept, such as when no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Binds a port.
+/// Binds a TCP port; `port` names it in the error.
 pub async fn bind(port: &'static str, address: SocketAddr) -> Result<TcpListener, Report<NodeError>> {
     TcpListener::bind(address).await.change_context(NodeError::Bind { port, address })
 }
 
-/// Accepts connections until `stop`, at most [`MAX_CONNECTIONS`] at a time.
+/// Accepts connections until `stop`. Those beyond [`MAX_CONNECTIONS`] at a time are closed at once.
 pub async fn accept<F, Fut>(listener: TcpListener, stop: StopSignal, serve: F)
 where
     F: Fn(TcpStream) -> Fut,
@@ -65,8 +65,8 @@
     }
 }
 
-/// Serves one HTTP/1.1 connection until it ends, or, in the last part of a stop, until
-/// its exchange in progress has ended.
+/// Serves one HTTP/1.1 connection until it ends or, in the last phase of a stop, until its exchange in
+/// progress has ended.
 pub async fn serve_until_closing<S>(
     connection: http1::Connection<TokioIo<TcpStream>, S>,
     stop: &StopSignal,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Asks the receiver of an answer to close its connection, once a stop has begun.
+/// Adds `connection: close` to a response once the node is stopping.
 pub fn close_when_stopping(response: &mut Response<AnyBody>, stop: &StopSignal) {
     if stop.is_stopping() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
