--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of calls and answers.
+//! Bodies of requests and responses.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -13,29 +13,30 @@
 use crate::error::NodeError;
 use olivegate_clock as clock;
 
-/// Any body that a node passes on, never collected as a whole unless it is small.
+/// A body that a node forwards. It is streamed; only small bodies are ever buffered as a whole.
 pub type AnyBody = UnsyncBoxBody<Bytes, NodeError>;
 
-/// A body of the given bytes.
+/// A body with the given bytes.
 pub fn full(bytes: impl Into<Bytes>) -> AnyBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body without content.
+/// An empty body.
 pub fn empty() -> AnyBody {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Any body of hyper's.
+/// A body received from a peer.
 pub fn incoming(body: hyper::body::Incoming) -> AnyBody {
     body.map_err(|_| NodeError::Body).boxed_unsync()
 }
 
-/// A streamed body that holds `guard` until its end and must end before a point in time.
+/// A streamed body that holds `guard` until it ends and fails if it has not ended by a point in time.
 ///
-/// The guard is a slot, a ledger account or the like: dropping the body, because it
-/// ended or because the receiver went away, releases it. A body that runs out of time
-/// ends with an error, which breaks the connection, so that a part never looks whole.
+/// The guard is a slot, a retry account or the like. It is released when the body ends or
+/// fails, and when the body is dropped because the receiver has gone away. A body that runs
+/// out of time ends with an error, which closes the connection, so that the receiver never
+/// takes a truncated body for a complete one.
 pub struct GuardedBody<G> {
     inner: AnyBody,
     guard: Option<G>,
@@ -43,7 +44,7 @@
 }
 
 impl<G> GuardedBody<G> {
-    /// Guards `inner` until it ends, `until` at the latest.
+    /// Holds `guard` until `inner` ends, at most until `until`.
     pub fn new(inner: AnyBody, guard: G, until: Moment) -> Self {
         let until = Box::pin(tokio::time::sleep_until(clock::instant_of(until)));
         GuardedBody { inner, guard: Some(guard), until }
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -1,8 +1,8 @@
-//! Kept-alive connections to one address: an instance, or another node's data port.
+//! Pool of keep-alive connections to one address: an instance, or another node's data port.
 //!
-//! A connection carries one exchange at a time. It goes back to the pool only when
-//! the answer's body was read to its end; hyper closes it when an exchange is dropped
-//! half-way, so a late answer never meets another request.
+//! A connection carries one exchange at a time. It is reused only after the response body
+//! was read to its end: hyper closes it when an exchange is dropped before that, so a late
+//! response is never taken for the response to a later request.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,9 +15,9 @@
 use crate::body::AnyBody;
 use crate::state::lock;
 
-/// Longest time for a new connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time for a connection that was just given back to become ready.
+/// Time for a connection that was just released to become ready for its next request.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
 
 /// Idle connections to one address.
@@ -26,7 +26,7 @@
     idle: Mutex<Vec<SendRequest<AnyBody>>>,
 }
 
-/// The address can't be reached.
+/// No connection to the address could be opened.
 #[derive(Debug, Clone, Copy)]
 pub struct Unreachable;
 
@@ -36,8 +36,8 @@
         ConnectionPool { address, idle: Mutex::default() }
     }
 
-    /// An idle connection, or a new one. `Ok((connection, true))` says it was used before.
-    pub async fn take(&self) -> Result<(SendRequest<AnyBody>, bool), Unreachable> {
+    /// An idle connection, or a new one if there is none. The flag is true for one that was used before.
+    pub async fn acquire(&self) -> Result<(SendRequest<AnyBody>, bool), Unreachable> {
         while let Some(mut connection) = self.pop() {
             if connection.is_closed() {
                 continue;
@@ -59,9 +59,9 @@
         }
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     pub async fn connect(&self) -> Result<SendRequest<AnyBody>, Unreachable> {
-        let connecting = async {
+        let connect = async {
             let stream = TcpStream::connect(self.address).await.map_err(|_| Unreachable)?;
             stream.set_nodelay(true).map_err(|_| Unreachable)?;
             let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|_| Unreachable)?;
@@ -70,11 +70,11 @@
             });
             Ok(sender)
         };
-        tokio::time::timeout(CONNECT_TIMEOUT, connecting).await.map_err(|_| Unreachable)?
+        tokio::time::timeout(CONNECT_TIMEOUT, connect).await.map_err(|_| Unreachable)?
     }
 
-    /// Gives a connection back after its exchange.
-    pub fn give_back(&self, connection: SendRequest<AnyBody>) {
+    /// Returns a connection to the pool after its exchange; a closed one is dropped.
+    pub fn release(&self, connection: SendRequest<AnyBody>) {
         if !connection.is_closed() {
             lock(&self.idle).push(connection);
         }
@@ -86,14 +86,14 @@
     }
 }
 
-/// A connection in use, given back when this value is dropped.
+/// A connection in use; dropping the guard returns it to its pool.
 pub struct ConnectionGuard {
     pool: Arc<ConnectionPool>,
     connection: Option<SendRequest<AnyBody>>,
 }
 
 impl ConnectionGuard {
-    /// Takes care of giving `connection` back to `pool`.
+    /// Guards `connection`, which belongs to `pool`.
     pub fn new(pool: Arc<ConnectionPool>, connection: SendRequest<AnyBody>) -> Self {
         ConnectionGuard { pool, connection: Some(connection) }
     }
@@ -102,7 +102,7 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         if let Some(connection) = self.connection.take() {
-            self.pool.give_back(connection);
+            self.pool.release(connection);
         }
     }
 }
--- a/crates/node/src/control_loops/bundle.rs
+++ b/crates/node/src/control_loops/bundle.rs
@@ -154,7 +154,7 @@
 }
 
 async fn fetch_from(node: Node, announced: SocketAddr) {
-    let address = node.dial(announced);
+    let address = node.dial_address(announced);
     let reply = node.control.call(address, FETCH_TIMEOUT, |client, rpc| async move { client.bundle(rpc).await });
     let Ok(Some(bytes)) = reply.await else {
         return;
@@ -179,7 +179,7 @@
     let mut learnt = seeds.is_empty();
     while !learnt {
         for seed in &seeds {
-            let address = node.dial(*seed);
+            let address = node.dial_address(*seed);
             let reply = node
                 .control
                 .call(address, FETCH_TIMEOUT, |client, rpc| async move { client.bundle_stamp(rpc).await });
--- a/crates/node/src/control_loops/membership.rs
+++ b/crates/node/src/control_loops/membership.rs
@@ -83,13 +83,13 @@
 pub fn send(node: &Node, to: SocketAddr, datagram: &Datagram) {
     let bytes = datagram.to_bytes(&node.settings.key);
     node.metrics.control_bytes.with_label_values(&["sent"]).inc_by(bytes.len() as u64);
-    if let Err(error) = node.datagrams.try_send_to(&bytes, node.dial(to)) {
+    if let Err(error) = node.datagrams.try_send_to(&bytes, node.dial_address(to)) {
         log::debug!("event=datagram_not_sent to={to} error={error}");
     }
 }
 
 async fn sync(node: Node, from: SocketAddr) {
-    let address = node.dial(from);
+    let address = node.dial_address(from);
     let reply = node.control.call(address, SYNC_TIMEOUT, |client, rpc| async move { client.members(rpc).await });
     let Ok(records) = reply.await else {
         return;
--- a/crates/node/src/control_loops/seats.rs
+++ b/crates/node/src/control_loops/seats.rs
@@ -240,7 +240,7 @@
         return Some(lock(&node.seats).on_recover(seat, recovering, incarnation, clock::now()));
     }
     let incarnation = incarnation.clone();
-    let reply = node.control.call(node.dial(holder.control), RECOVERY_TIMEOUT, |client, rpc| async move {
+    let reply = node.control.call(node.dial_address(holder.control), RECOVERY_TIMEOUT, |client, rpc| async move {
         client.recover(rpc, seat, recovering, incarnation).await
     });
     reply.await.ok()
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -1,4 +1,4 @@
-//! Instances of the back ends, as the platform lists them and as calls showed.
+//! Back-end instances: the platform's list, and which of them this node has observed to be leaving.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -7,8 +7,8 @@
 use olivegate_types::{InstanceName, Moment, ServiceName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// Time for which an own observation that an instance is leaving goes before the platform's list.
-const LEAVING_MEMORY: Duration = Duration::from_secs(10);
+/// Time for which this node's own observation that an instance is leaving overrides the platform's list.
+const LEAVING_RETENTION: Duration = Duration::from_secs(10);
 
 /// One back-end instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -67,7 +67,7 @@
 }
 
 impl Directory {
-    /// Takes over a new list.
+    /// Replaces the instances with those of the platform's list.
     pub fn replace(&mut self, list: &[ListedInstance]) {
         self.instances.clear();
         self.by_service.clear();
@@ -94,25 +94,25 @@
         self.instances.values()
     }
 
-    /// Instances of a service that may get new work.
+    /// Instances of a service that may be sent new calls.
     pub fn available(&self, service: &ServiceName, now: Moment) -> Vec<&Instance> {
         let names = self.by_service.get(service).map(Vec::as_slice).unwrap_or_default();
         let instances = names.iter().filter_map(|name| self.instances.get(name));
         instances.filter(|instance| !self.is_leaving(&instance.name, now)).collect()
     }
 
-    /// True when the platform or a call said that the instance is leaving.
+    /// True when the platform lists the instance as leaving, or it was recently observed to be leaving.
     pub fn is_leaving(&self, name: &InstanceName, now: Moment) -> bool {
-        let seen = self.observed_leaving.get(name).is_some_and(|at| now.since(*at) < LEAVING_MEMORY);
-        seen || self.instances.get(name).is_some_and(|instance| instance.leaving)
+        let observed = self.observed_leaving.get(name).is_some_and(|at| now.since(*at) < LEAVING_RETENTION);
+        observed || self.instances.get(name).is_some_and(|instance| instance.leaving)
     }
 
-    /// A call or the instance itself showed that it is leaving.
+    /// Records that a call or a health check showed the instance to be leaving.
     pub fn mark_leaving(&mut self, name: &InstanceName, now: Moment) {
         self.observed_leaving.insert(name.clone(), now);
     }
 
-    /// The instance itself said that it is not leaving.
+    /// Records that the instance itself reported that it is not leaving.
     pub fn mark_not_leaving(&mut self, name: &InstanceName) {
         self.observed_leaving.remove(name);
     }
--- a/crates/node/src/edge/attempts.rs
+++ b/crates/node/src/edge/attempts.rs
@@ -233,7 +233,7 @@
         if context.root_node == *self.node.name() {
             return lock(&self.node.retry_ledger).take(context.request);
         }
-        let address = self.node.dial(context.root_control);
+        let address = self.node.dial_address(context.root_control);
         let request = context.request;
         let reply = self.node.control.call(address, CREDIT_TIMEOUT, |client, rpc| async move {
             client.take_retry_credit(rpc, request).await
--- a/crates/node/src/edge/claim.rs
+++ b/crates/node/src/edge/claim.rs
@@ -123,7 +123,7 @@
     if holder.name == *node.name() {
         return (seat, lock(&node.seats).on_claim(seat, &claim, clock::now()));
     }
-    let reply = node.control.call(node.dial(holder.control), timeout, |client, rpc| async move {
+    let reply = node.control.call(node.dial_address(holder.control), timeout, |client, rpc| async move {
         client.claim(rpc, seat, claim).await
     });
     (seat, reply.await.ok().flatten())
@@ -141,9 +141,10 @@
             continue;
         }
         let claimant = claimant.clone();
-        let reply = node.control.call(node.dial(holder.control), ROUND_TIMEOUT, |client, rpc| async move {
-            client.abandon(rpc, seat, key, claimant).await
-        });
+        let reply =
+            node.control.call(node.dial_address(holder.control), ROUND_TIMEOUT, |client, rpc| async move {
+                client.abandon(rpc, seat, key, claimant).await
+            });
         let _ = reply.await;
     }
 }
@@ -168,7 +169,7 @@
 
 async fn fetch_cached_response(node: &Node, key: ClaimKey, holder: &Claimant) -> Option<CachedResponse> {
     let address = lock(&node.membership).get(&holder.node).map(|record| record.control)?;
-    let reply = node.control.call(node.dial(address), ROUND_TIMEOUT, |client, rpc| async move {
+    let reply = node.control.call(node.dial_address(address), ROUND_TIMEOUT, |client, rpc| async move {
         client.cached_response(rpc, key).await
     });
     reply.await.ok().flatten()
--- a/crates/node/src/edge/forward.rs
+++ b/crates/node/src/edge/forward.rs
@@ -68,12 +68,12 @@
 }
 
 async fn send(node: &Node, gate: &MemberRecord, call: GateCall) -> Result<Response<AnyBody>, SendError> {
-    let pool = node.peers.get(node.dial(gate.data));
+    let pool = node.peers.get(node.dial_address(gate.data));
     let max_body_time = Duration::from_millis(u64::from(call.bundle.bundle().limits.max_deadline_ms));
     let body_until = call.deadline + max_body_time;
     let mut request = build_request(node, gate, call);
     for _ in 0..MAX_CONNECTION_TRIES {
-        let Ok((mut connection, reused)) = pool.take().await else {
+        let Ok((mut connection, reused)) = pool.acquire().await else {
             return Err(SendError::NotSent);
         };
         match connection.try_send_request(request).await {
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,35 +1,37 @@
-//! Errors of the node layer.
+//! Errors of the node.
 
 use std::fmt;
 
-/// Why a node could not start or a loop failed.
+/// Why a node could not start, a background task failed or a body ended early.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NodeError {
-    /// The settings are not valid; the text names each mistake.
+    /// The settings are not valid; the text lists every field error.
     Settings(String),
     /// A port can't be bound.
     Bind {
         /// Name of the port.
         port: &'static str,
-        /// Address that was asked for.
+        /// Address from the settings.
         address: std::net::SocketAddr,
     },
-    /// The runtime can't be started.
+    /// The async runtime or one of its sockets can't be set up.
     Runtime,
-    /// A platform service gave no usable answer.
+    /// A service of the platform did not respond, or its response is not usable.
     Platform,
-    /// A body broke off, or took longer than allowed.
+    /// A body ended early or took longer than allowed.
     Body,
 }
 
 impl fmt::Display for NodeError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NodeError::Settings(mistakes) => write!(formatter, "settings are not valid:\n{mistakes}"),
+            NodeError::Settings(errors) => write!(formatter, "settings are not valid:\n{errors}"),
             NodeError::Bind { port, address } => write!(formatter, "cannot bind the {port} port to {address}"),
             NodeError::Runtime => formatter.write_str("cannot start the runtime"),
-            NodeError::Platform => formatter.write_str("platform service gave no usable answer"),
-            NodeError::Body => formatter.write_str("body broke off or took too long"),
+            NodeError::Platform => {
+                formatter.write_str("the platform service did not respond or its response is not usable")
+            }
+            NodeError::Body => formatter.write_str("the body ended early or took too long"),
         }
     }
 }
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -1,4 +1,4 @@
-//! What this node decided about recent requests, in a bounded ring.
+//! A bounded log of the decisions that this node made about recent requests.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -6,10 +6,10 @@
 
 use olivegate_types::{GroupName, InstanceName, KindName, NodeName, Outcome, RefusalReason, RequestId};
 
-/// Most decisions remembered.
-const CAPACITY: usize = 16_384;
+/// Maximum number of decisions kept.
+const MAX_DECISIONS: usize = 16_384;
 
-/// One decision.
+/// One decision about a request.
 #[derive(Debug, Clone)]
 pub enum Decision {
     /// The request was classified and admitted at its root.
@@ -21,7 +21,7 @@
     },
     /// It was refused.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
     },
     /// An instance was chosen.
@@ -52,7 +52,7 @@
     },
     /// It was answered.
     Answered {
-        /// Outcome told.
+        /// Outcome reported to the caller.
         outcome: Outcome,
         /// HTTP status.
         status: u16,
@@ -79,24 +79,24 @@
     }
 }
 
-/// The ring.
+/// The most recent decisions; the oldest is dropped when the log is full.
 #[derive(Debug, Default)]
 pub struct DecisionLog {
     entries: VecDeque<(RequestId, u64, u8, Decision)>,
 }
 
 impl DecisionLog {
-    /// Notes a decision made at `unix_ms` about a request at `hop`.
+    /// Records a decision made at `unix_ms` about a request at `hop`.
     pub fn record(&mut self, request: RequestId, unix_ms: u64, hop: u8, decision: Decision) {
-        if self.entries.len() >= CAPACITY {
+        if self.entries.len() >= MAX_DECISIONS {
             self.entries.pop_front();
         }
         self.entries.push_back((request, unix_ms, hop, decision));
     }
 
-    /// Decisions about one request, one line each.
+    /// The decisions about one request, one line each.
     pub fn lines(&self, request: RequestId, node: &NodeName) -> Vec<String> {
-        let own = self.entries.iter().filter(|(id, ..)| *id == request);
-        own.map(|(_, at, hop, decision)| format!("unix_ms={at} node={node} hop={hop} {decision}")).collect()
+        let matching = self.entries.iter().filter(|(id, ..)| *id == request);
+        matching.map(|(_, at, hop, decision)| format!("unix_ms={at} node={node} hop={hop} {decision}")).collect()
     }
 }
--- a/crates/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Small HTTP reads from the platform's services and back ends.
+//! Small HTTP GET requests to the platform's services and to instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,29 +12,29 @@
 
 use crate::error::NodeError;
 
-/// An answer to a read.
+/// The response to a GET request.
 #[derive(Debug)]
 pub struct Fetched {
     /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: hyper::HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Reads `path` of the service at `address`; the body may have `limit` bytes.
+/// Requests `path` from the server at `address`. A body of more than `limit` bytes is an error.
 pub async fn get(
     address: SocketAddr,
     path: &str,
     limit: usize,
     timeout: Duration,
 ) -> Result<Fetched, Report<NodeError>> {
-    let reading = tokio::time::timeout(timeout, read(address, path, limit));
-    reading.await.change_context(NodeError::Platform)?
+    let fetched = tokio::time::timeout(timeout, request(address, path, limit));
+    fetched.await.change_context(NodeError::Platform)?
 }
 
-async fn read(address: SocketAddr, path: &str, limit: usize) -> Result<Fetched, Report<NodeError>> {
+async fn request(address: SocketAddr, path: &str, limit: usize) -> Result<Fetched, Report<NodeError>> {
     let stream = TcpStream::connect(address).await.change_context(NodeError::Platform)?;
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) = handshake.change_context(NodeError::Platform)?;
--- a/crates/node/src/gate/dispatch.rs
+++ b/crates/node/src/gate/dispatch.rs
@@ -157,7 +157,7 @@
 ) -> GateResult {
     let mut request = build_request(node, &mut call);
     for _ in 0..MAX_CONNECTION_TRIES {
-        let Ok((mut connection, reused)) = gate.connections().take().await else {
+        let Ok((mut connection, reused)) = gate.connections().acquire().await else {
             gate.on_failure();
             return refused(RefusalReason::InstanceUnreachable);
         };
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,15 +1,16 @@
 //! The olivegate node.
 //!
-//! Every node is the same program. As an *edge* it takes calls from callers and back
-//! ends, classifies and admits them, chooses an instance, and owns the one answer. As
-//! the *gate* of an instance it is the only place that dispatches calls to it. Gates
-//! are assigned by rendezvous hashing over the live members of the instance's zone.
+//! All nodes run the same program, in two roles. As an *edge*, a node receives calls from
+//! callers and back ends, classifies and admits them, chooses an instance, and sends the
+//! final response. As the *gate* of an instance, it is the only node that dispatches calls
+//! to that instance. Rendezvous hashing over the live members of the instance's zone
+//! assigns the gates.
 //!
 //! - [`settings`]: the checked settings file; [`app`]: builds and runs a node.
-//! - [`state`]: what the parts of a node share.
-//! - [`connections`]: kept-alive connections, never reused half-read.
-//! - [`edge`], [`gate`]: the two roles on the path of a call.
-//! - [`control_loops`]: membership, bundle, seats, platform and health.
+//! - [`state`]: state shared by all parts of a node.
+//! - [`connections`]: pools of keep-alive connections, reused only after a complete response.
+//! - [`edge`], [`gate`]: the two roles in serving a call.
+//! - [`control_loops`]: background tasks for membership, bundle, seats, platform and health.
 //! - [`ports`]: the caller, data, control and admin ports.
 
 pub mod app;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the usual text format.
+//! Metrics in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
-    /// Answers to callers and back ends, by outcome and importance.
+    /// Responses to callers and back ends, by outcome and importance.
     pub answers: IntCounterVec,
     /// Refusals made by this node, by reason.
     pub refusals: IntCounterVec,
@@ -23,9 +23,9 @@
     pub control_bytes: IntCounterVec,
     /// Version of the bundle in force.
     pub bundle_version: IntGauge,
-    /// Calls being handled.
+    /// Calls in progress.
     pub calls_in_flight: IntGauge,
-    /// Own processing per call in seconds, queueing and the back end left out.
+    /// Own processing time per call in seconds, without queueing and the back end.
     pub own_processing: Histogram,
 }
 
@@ -87,23 +87,23 @@
 }
 
 impl Metrics {
-    /// Notes an answer.
+    /// Counts a response.
     pub fn on_answer(&self, outcome: Outcome, importance: Importance) {
         let importance = importance.0.to_string();
         self.answers.with_label_values(&[outcome.as_str(), importance.as_str()]).inc();
     }
 
-    /// Notes a refusal.
+    /// Counts a refusal.
     pub fn on_refusal(&self, reason: RefusalReason) {
         self.refusals.with_label_values(&[reason.as_str()]).inc();
     }
 
-    /// Notes own processing time of one call.
-    pub fn on_own_processing(&self, own: Duration) {
-        self.own_processing.observe(own.as_secs_f64());
+    /// Records the own processing time of one call.
+    pub fn on_own_processing(&self, processing_time: Duration) {
+        self.own_processing.observe(processing_time.as_secs_f64());
     }
 
-    /// The text format.
+    /// All metrics in the text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut text);
--- a/crates/node/src/ports/admin.rs
+++ b/crates/node/src/ports/admin.rs
@@ -82,7 +82,7 @@
         membership.others().filter(|record| record.is_answering()).map(|record| record.control).collect()
     };
     let replies = peers.into_iter().map(|peer| {
-        node.control.call(node.dial(peer), EXPLAIN_TIMEOUT, move |client, rpc| async move {
+        node.control.call(node.dial_address(peer), EXPLAIN_TIMEOUT, move |client, rpc| async move {
             client.explain(rpc, request).await
         })
     });
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -1,4 +1,4 @@
-//! Final answers that a node makes itself.
+//! Responses that a node makes itself, and helpers for headers.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 
 use crate::body::{self, AnyBody};
 
-/// Longest `Retry-After` spread, as a part of the time.
-const JITTER: f64 = 0.25;
+/// Maximum jitter of `Retry-After`, as a fraction of the time.
+const MAX_JITTER: f64 = 0.25;
 
-/// A final answer to the caller.
+/// A response that the node makes itself instead of forwarding an instance's.
 #[derive(Debug, Clone)]
 pub struct LocalResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// What became of the request.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason, for the reason header and the body.
     pub reason: String,
-    /// When to come back; `None` when coming back won't help.
+    /// When the caller may retry; `None` when a retry of the same request can't succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl LocalResponse {
-    /// The request itself is at fault.
+    /// The request is invalid.
     pub fn bad_request(status: StatusCode, reason: impl Into<String>) -> Self {
         LocalResponse { status, outcome: Outcome::NotRun, reason: reason.into(), retry_after: None }
     }
 
-    /// The request was not run; come back later.
+    /// The request was not run; the caller may retry later.
     pub fn not_run(reason: impl Into<String>, retry_after: Duration) -> Self {
         LocalResponse {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -45,7 +45,7 @@
         LocalResponse { status, outcome: Outcome::Unknown, reason: reason.into(), retry_after: Some(retry_after) }
     }
 
-    /// The HTTP response.
+    /// Builds the HTTP response.
     pub fn into_response(self, request: Option<RequestId>) -> Response<AnyBody> {
         let text = format!("{}: {}\n", self.outcome, self.reason);
         let mut response = Response::new(body::full(text));
@@ -64,28 +64,28 @@
     }
 }
 
-/// Sets a header; values that HTTP does not allow are left out.
+/// Sets a header. A value that HTTP does not allow is ignored.
 pub fn insert(headers: &mut hyper::HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = hyper::header::HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// Sets `Retry-After` (whole seconds, at least one) and the finer header, with jitter.
+/// Sets `Retry-After` (whole seconds, at least one) and the header in milliseconds, with jitter.
 pub fn insert_retry_after(headers: &mut hyper::HeaderMap, retry_after: Duration) {
-    let spread = 1.0 + JITTER * rand::rng().random_range(-1.0..1.0);
-    let millis = (retry_after.as_secs_f64() * spread * 1_000.0).max(1.0) as u64;
+    let jitter = 1.0 + MAX_JITTER * rand::rng().random_range(-1.0..1.0);
+    let millis = (retry_after.as_secs_f64() * jitter * 1_000.0).max(1.0) as u64;
     insert(headers, header::RETRY_AFTER_MS, &millis.to_string());
     let seconds = millis.div_ceil(1_000).max(1).to_string();
     insert(headers, http_header::RETRY_AFTER.as_str(), &seconds);
 }
 
-/// Text of a header, if present and readable.
+/// Value of a header, if it is present and visible ASCII.
 pub fn header_text<'a>(headers: &'a hyper::HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// A header parsed from text.
+/// Parsed value of a header, if it is present and valid.
 pub fn header_value<T: std::str::FromStr>(headers: &hyper::HeaderMap, name: &str) -> Option<T> {
     header_text(headers, name).and_then(|text| text.parse().ok())
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -8,7 +8,7 @@
 use olivegate_claims::majority;
 use olivegate_types::{DeploymentKey, NodeName, ZoneName};
 
-/// Flags of the command line that go before the file.
+/// Command-line flags that override the settings file.
 #[derive(Debug, Clone, Default)]
 pub struct Overrides {
     /// `node`.
@@ -27,7 +27,7 @@
     pub new_deployment: bool,
 }
 
-/// Addresses that the node binds.
+/// Addresses on which the node listens.
 #[derive(Debug, Clone, Copy)]
 pub struct ListenAddresses {
     /// Calls from callers and back ends.
@@ -36,7 +36,7 @@
     pub data: SocketAddr,
     /// Control messages, TCP and UDP.
     pub control: SocketAddr,
-    /// Status, metrics, explanations.
+    /// Status, metrics and request explanations.
     pub admin: SocketAddr,
 }
 
@@ -47,20 +47,20 @@
     pub configuration: SocketAddr,
     /// List of live and leaving machines.
     pub members: SocketAddr,
-    /// Time between two reads.
+    /// Poll interval.
     pub poll: Duration,
 }
 
-/// A peer address that is reached under another one from here.
+/// A peer whose announced address must be dialled under another one from here.
 #[derive(Debug, Clone, Copy)]
-pub struct ReachableAs {
+pub struct AddressTranslation {
     /// The address that the peer announces.
     pub announced: SocketAddr,
     /// The address to dial.
     pub dial: SocketAddr,
 }
 
-/// Checked settings.
+/// Checked settings of a node.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
     /// Name of the deployment.
@@ -73,29 +73,29 @@
     pub key: DeploymentKey,
     /// Addresses to bind.
     pub listen: ListenAddresses,
-    /// Who signs off bundles.
+    /// The keys that sign bundles, and how many signatures are required.
     pub sign_off: SignOff,
     /// Platform services.
     pub platform: PlatformAddresses,
-    /// Control addresses of some other nodes.
+    /// Control addresses of some other nodes, contacted at the start.
     pub seeds: Vec<SocketAddr>,
     /// Zone of each seat of the claim group; only nodes of that zone may hold it.
     pub seat_zones: Vec<ZoneName>,
-    /// True for the first start of a new deployment: no request was ever served before.
+    /// True for the first start of a new deployment, which has never served a request.
     pub new_deployment: bool,
     /// Worker threads; 1 runs everything on one thread.
     pub worker_threads: usize,
-    /// Longest time that a stop waits for calls in flight.
+    /// Maximum time that a stop waits for calls in flight.
     pub stop_timeout: Duration,
-    /// Address translations.
-    pub reachable_as: Vec<ReachableAs>,
+    /// Translations of peers' announced addresses.
+    pub reachable_as: Vec<AddressTranslation>,
 }
 
-/// Shortest accepted secret, in characters.
-const SHORTEST_SECRET: usize = 16;
+/// Minimum length of the secret, in characters.
+const MIN_SECRET_LENGTH: usize = 16;
 
 impl NodeSettings {
-    /// Reads and checks settings text; `overrides` go before the file.
+    /// Parses and checks a settings file; `overrides` take precedence over it.
     pub fn from_toml(text: &str, overrides: &Overrides) -> Result<Self, FieldErrors> {
         let mut table = parse(text)?;
         apply_overrides(&mut table, overrides);
@@ -106,9 +106,9 @@
     }
 
     /// The address to dial for an announced one.
-    pub fn dial(&self, announced: SocketAddr) -> SocketAddr {
-        let translation = self.reachable_as.iter().find(|reach| reach.announced == announced);
-        translation.map_or(announced, |reach| reach.dial)
+    pub fn dial_address(&self, announced: SocketAddr) -> SocketAddr {
+        let translation = self.reachable_as.iter().find(|translation| translation.announced == announced);
+        translation.map_or(announced, |translation| translation.dial)
     }
 }
 
@@ -152,8 +152,8 @@
     let node = NodeName::new(reader.name("node"));
     let zone = ZoneName::new(reader.name("zone"));
     let secret = reader.text("secret");
-    if !secret.is_empty() && secret.len() < SHORTEST_SECRET {
-        reader.add_error("secret", format!("a secret has at least {SHORTEST_SECRET} characters"));
+    if !secret.is_empty() && secret.len() < MIN_SECRET_LENGTH {
+        reader.add_error("secret", format!("a secret has at least {MIN_SECRET_LENGTH} characters"));
     }
     let listen = reader.section("listen", read_listen);
     let sign_off = reader.section("sign_off", read_sign_off);
@@ -164,7 +164,7 @@
         let threads = runtime.integer_or("worker_threads", 1, 1..=256) as usize;
         (threads, runtime.millis_or("stop_timeout_ms", 10_000, 100..=120_000))
     });
-    let reachable_as = reader.sections("reachable_as", read_reach).into_iter().flatten().collect();
+    let reachable_as = reader.sections("reachable_as", read_address_translation).into_iter().flatten().collect();
     Some(NodeSettings {
         deployment,
         node,
@@ -182,19 +182,19 @@
     })
 }
 
-const ADDRESS: &str = "an address such as 127.0.0.1:8080";
+const ADDRESS_FORMAT: &str = "an address such as 127.0.0.1:8080";
 
 fn read_listen(reader: &mut TableReader) -> Option<ListenAddresses> {
-    let caller = reader.parsed("caller", ADDRESS);
-    let data = reader.parsed("data", ADDRESS);
-    let control = reader.parsed("control", ADDRESS);
-    let admin = reader.parsed("admin", ADDRESS);
+    let caller = reader.parsed("caller", ADDRESS_FORMAT);
+    let data = reader.parsed("data", ADDRESS_FORMAT);
+    let control = reader.parsed("control", ADDRESS_FORMAT);
+    let admin = reader.parsed("admin", ADDRESS_FORMAT);
     Some(ListenAddresses { caller: caller?, data: data?, control: control?, admin: admin? })
 }
 
 fn read_platform(reader: &mut TableReader) -> Option<PlatformAddresses> {
-    let configuration = reader.parsed("configuration", ADDRESS);
-    let members = reader.parsed("members", ADDRESS);
+    let configuration = reader.parsed("configuration", ADDRESS_FORMAT);
+    let members = reader.parsed("members", ADDRESS_FORMAT);
     let poll = reader.millis_or("poll_ms", 500, 50..=60_000);
     Some(PlatformAddresses { configuration: configuration?, members: members?, poll })
 }
@@ -216,13 +216,13 @@
     let texts = reader.texts("seeds");
     let seeds: Vec<SocketAddr> = texts.iter().filter_map(|text| text.parse().ok()).collect();
     if seeds.len() != texts.len() {
-        reader.add_error("seeds", format!("expected {ADDRESS} in each place"));
+        reader.add_error("seeds", format!("expected {ADDRESS_FORMAT} in each place"));
     }
     seeds
 }
 
-/// Reads the seats. No zone may hold a majority of them: a zone that is cut off would
-/// otherwise be able to form a group of its own.
+/// Reads the seats. No zone may hold a majority of them: a partitioned zone could otherwise form a quorum
+/// of its own.
 fn read_claims(reader: &mut TableReader) -> (Vec<ZoneName>, bool) {
     let zones: Vec<ZoneName> = reader.texts("seat_zones").iter().map(ZoneName::new).collect();
     let seats_of = |zone: &ZoneName| zones.iter().filter(|other| *other == zone).count();
@@ -234,8 +234,8 @@
     (zones, reader.boolean_or("new_deployment", false))
 }
 
-fn read_reach(reader: &mut TableReader) -> Option<ReachableAs> {
-    let announced = reader.parsed("announced", ADDRESS);
-    let dial = reader.parsed("dial", ADDRESS);
-    Some(ReachableAs { announced: announced?, dial: dial? })
+fn read_address_translation(reader: &mut TableReader) -> Option<AddressTranslation> {
+    let announced = reader.parsed("announced", ADDRESS_FORMAT);
+    let dial = reader.parsed("dial", ADDRESS_FORMAT);
+    Some(AddressTranslation { announced: announced?, dial: dial? })
 }
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share.
+//! State shared by all parts of a node.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -25,16 +25,17 @@
 use crate::stop::StopSignal;
 use olivegate_clock as clock;
 
-/// Earlier bundles kept, so that a request ends under the version that admitted it.
-const BUNDLES_KEPT: usize = 8;
+/// Maximum number of bundle versions kept, with the one in force. Older ones stay so that a request
+/// finishes under the version that admitted it.
+const MAX_BUNDLES: usize = 8;
 
-/// Locks a mutex; a panic elsewhere doesn't take the node down.
+/// Locks a mutex and ignores poisoning, so that a panic of one task doesn't bring the node down.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Gates found by hashing, kept until a member changes: hashing over all members of a
-/// zone for each call costs too much in large zones.
+/// Cache of the gate of each instance, cleared when a member changes. Hashing over all members of a zone
+/// for each call costs too much in large zones.
 #[derive(Default)]
 struct GateOwners {
     member_changes: u64,
@@ -45,53 +46,53 @@
 pub struct NodeState {
     /// Checked settings.
     pub settings: NodeSettings,
-    /// Addresses really bound.
+    /// Addresses that were bound.
     pub addresses: ListenAddresses,
-    /// Bundle versions and the floor.
+    /// Store of the latest bundle, with the version floor.
     pub bundles: Mutex<BundleStore>,
     in_force: RwLock<VecDeque<Arc<IndexedBundle>>>,
-    /// True once a peer told its version, or there are no peers.
+    /// True once a peer has reported its bundle version, or if the settings list no peers.
     pub floor_learnt: std::sync::atomic::AtomicBool,
-    /// Members.
+    /// Cluster members and the failure detector.
     pub membership: Mutex<Membership>,
-    /// Raised with each change of a member's state.
+    /// Counts changes of members' states; watchers are notified of each.
     pub member_changes: watch::Sender<u64>,
     /// Socket for control datagrams.
     pub datagrams: UdpSocket,
     gate_owners: Mutex<GateOwners>,
     /// Back-end instances.
     pub directory: RwLock<Directory>,
-    /// Own observations of instances.
+    /// Load balancer, with this node's own observations of the instances.
     pub balancer: Mutex<Balancer>,
-    /// Admission levels learnt from replies.
+    /// Admission levels reported in the replies of gates.
     pub levels: Mutex<LevelTable>,
-    /// Retry credits of own root requests.
+    /// Retry credits of the root requests that this node admitted.
     pub retry_ledger: Mutex<RetryLedger>,
-    /// Local retry budget.
+    /// Retry budget of this node.
     pub retry_budget: Mutex<RetryBudget>,
-    /// Gates of instances.
+    /// Gates of the instances for which this node is responsible.
     pub gates: GateTable,
-    /// Seats held here.
+    /// Seats of the claim group that this node holds.
     pub seats: Mutex<SeatTable>,
-    /// Answers kept for repeats.
+    /// Responses cached for duplicates of keyed requests.
     pub response_cache: Mutex<ResponseCache>,
-    /// Recent decisions.
+    /// Recent decisions, for `explain`.
     pub decisions: Mutex<DecisionLog>,
     /// Metrics.
     pub metrics: Metrics,
-    /// Control connections.
+    /// Connections to the control ports of other nodes.
     pub control: ControlPool,
-    /// Data connections.
+    /// Connections to the data ports of other nodes.
     pub peers: PeerPool,
-    /// Stop signal.
+    /// Stop signal and count of calls in flight.
     pub stop: StopSignal,
 }
 
-/// Shared handle.
+/// Shared handle to the state of a node.
 pub type Node = Arc<NodeState>;
 
 impl NodeState {
-    /// State of a node that was just started.
+    /// State of a node that has just started.
     pub fn new(settings: NodeSettings, addresses: ListenAddresses, datagrams: UdpSocket) -> Self {
         let own = MemberRecord {
             name: settings.node.clone(),
@@ -142,51 +143,52 @@
         in_force.front().cloned()
     }
 
-    /// The bundle of this version if it is still kept, else the one in force.
+    /// The bundle of `version` if it is still kept, else the one in force.
     pub fn bundle_for_version(&self, version: u64) -> Option<Arc<IndexedBundle>> {
         let in_force = self.in_force.read().unwrap_or_else(std::sync::PoisonError::into_inner);
         let exact = in_force.iter().find(|bundle| bundle.stamp().version == version);
         exact.or(in_force.front()).cloned()
     }
 
-    /// Puts a bundle in force.
+    /// Puts a bundle in force and applies its settings to the gates.
     pub fn put_in_force(&self, bundle: IndexedBundle) {
         self.metrics.bundle_version.set(bundle.stamp().version as i64);
         self.gates.configure(bundle.bundle());
         let mut in_force = self.in_force.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         in_force.push_front(Arc::new(bundle));
-        in_force.truncate(BUNDLES_KEPT);
+        in_force.truncate(MAX_BUNDLES);
     }
 
-    /// True when the node may admit requests: a bundle at or above the floor is in
-    /// force and the view of the members is fresh.
+    /// True when the node may admit requests: a bundle at or above the version floor is in force and the
+    /// view of the members is fresh.
     pub fn is_ready(&self) -> bool {
         let learnt = self.floor_learnt.load(std::sync::atomic::Ordering::Relaxed);
         learnt && lock(&self.bundles).may_serve() && self.is_view_fresh()
     }
 
-    /// False after the process was stopped, until a member was heard again.
+    /// False after the process was paused, until it has heard from a member again.
     pub fn is_view_fresh(&self) -> bool {
         lock(&self.membership).is_view_fresh(clock::now())
     }
 
-    /// The node that is the gate of an instance: of the instance's zone if any is usable there.
+    /// The node that is the gate of an instance: a member of the instance's zone if one is usable there,
+    /// else any usable member.
     pub fn gate_of(&self, instance: &Instance) -> Option<MemberRecord> {
-        let changes = *self.member_changes.borrow();
+        let member_changes = *self.member_changes.borrow();
         let mut cache = lock(&self.gate_owners);
-        if cache.member_changes != changes {
-            cache.member_changes = changes;
+        if cache.member_changes != member_changes {
+            cache.member_changes = member_changes;
             cache.owners.clear();
         }
         if let Some(owner) = cache.owners.get(&instance.name) {
             return owner.clone();
         }
-        let owner = self.find_gate(instance);
+        let owner = self.compute_gate(instance);
         cache.owners.insert(instance.name.clone(), owner.clone());
         owner
     }
 
-    fn find_gate(&self, instance: &Instance) -> Option<MemberRecord> {
+    fn compute_gate(&self, instance: &Instance) -> Option<MemberRecord> {
         let membership = lock(&self.membership);
         let mut candidates = membership.usable_in(&instance.zone);
         if candidates.is_empty() {
@@ -196,7 +198,7 @@
         owner.map(|record| (*record).clone())
     }
 
-    /// A snapshot of an instance's entry.
+    /// A copy of an instance's directory entry.
     pub fn instance(&self, name: &InstanceName) -> Option<Instance> {
         self.read_directory().get(name).cloned()
     }
@@ -211,17 +213,17 @@
         self.directory.write().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Notes a decision for `explain`.
+    /// Records a decision for `explain`.
     pub fn record_decision(&self, request: RequestId, hop: u8, decision: Decision) {
         lock(&self.decisions).record(request, clock::unix_ms(), hop, decision);
     }
 
-    /// The address at which a member is dialled from here.
-    pub fn dial(&self, announced: SocketAddr) -> SocketAddr {
-        self.settings.dial(announced)
+    /// The address to dial for an address that a member announces.
+    pub fn dial_address(&self, announced: SocketAddr) -> SocketAddr {
+        self.settings.dial_address(announced)
     }
 
-    /// True while `peer` is neither suspected nor held for dead.
+    /// True while `peer` is neither suspected nor declared dead.
     pub fn is_answering(&self, peer: &NodeName) -> bool {
         lock(&self.membership).get(peer).is_some_and(MemberRecord::is_answering)
     }
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -1,8 +1,8 @@
-//! Stopping without cutting off calls in flight.
+//! Graceful stop: calls in flight are not cut off.
 //!
-//! First the ports stop accepting and each answer asks its connection to close; later,
-//! when callers have had time to notice, connections that are still idle are closed. A
-//! connection closed at once could meet a request that its caller is just sending.
+//! First the ports stop accepting connections, and each response asks for its connection to
+//! be closed. Later, when callers have had time to notice, the connections that are still
+//! idle are closed. Closing them at once could cut off a request that a caller is sending.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct StopSignal(Arc<Shared>);
 
-/// A call in flight; dropped when its answer has been sent whole.
+/// Counts a call as in flight until it is dropped, when its response has been sent completely.
 #[derive(Debug)]
 pub struct InFlightGuard(StopSignal);
 
@@ -33,7 +33,7 @@
         self.0.changed.notify_waiters();
     }
 
-    /// Closes idle connections; the last part of a stop.
+    /// Closes idle connections, as the last phase of a stop.
     pub fn close_idle(&self) {
         self.0.closing.store(true, Ordering::SeqCst);
         self.0.changed.notify_waiters();
@@ -46,15 +46,15 @@
 
     /// Waits until the stop starts.
     pub async fn stopped(&self) {
-        self.wait_for(&self.0.stopping).await;
+        self.wait_for_flag(&self.0.stopping).await;
     }
 
     /// Waits until idle connections are to be closed.
     pub async fn closing(&self) {
-        self.wait_for(&self.0.closing).await;
+        self.wait_for_flag(&self.0.closing).await;
     }
 
-    async fn wait_for(&self, flag: &AtomicBool) {
+    async fn wait_for_flag(&self, flag: &AtomicBool) {
         loop {
             let changed = self.0.changed.notified();
             if flag.load(Ordering::SeqCst) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Counts a call until the result is dropped.
+    /// Counts a call as in flight until the guard is dropped.
     pub fn track_request(&self) -> InFlightGuard {
         self.0.in_flight.fetch_add(1, Ordering::SeqCst);
         InFlightGuard(self.clone())
@@ -75,14 +75,14 @@
         self.0.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Waits until no call is in flight, `timeout` at most; true when none is left.
+    /// Waits until no call is in flight, but at most `timeout`. Returns true when none is left.
     pub async fn drained(&self, timeout: Duration) -> bool {
-        let waiting = async {
+        let no_calls = async {
             while self.in_flight() > 0 {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(timeout, waiting).await.is_ok()
+        tokio::time::timeout(timeout, no_calls).await.is_ok()
     }
 }
 
