--- a/crates/node/tests/node/calls.rs
+++ b/crates/node/tests/node/calls.rs
@@ -1,4 +1,4 @@
-//! Calls through one node: answers, refusals, failures and the stop.
+//! Calls through one node: responses, refusals, failures and the graceful stop.
 
 use std::time::Duration;
 
@@ -74,7 +74,8 @@
     assert_eq!(back_end.requests(), before);
 }
 
-/// The call takes longer than everything else that a stop waits for.
+/// The call takes longer than all other delays of a stop, so that only the wait for calls in flight can keep
+/// the stop from cutting it off.
 #[tokio::test]
 async fn a_planned_stop_waits_for_a_call_in_flight() {
     let slow = Script::SendLater(Duration::from_millis(3_000), answer("a page"));
--- a/crates/node/tests/node/main.rs
+++ b/crates/node/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! One whole node, its ports handed out by the kernel.
+//! Tests of one complete node; the kernel chooses its ports.
 
 mod bad_input;
 mod calls;
--- a/crates/node/tests/node/support.rs
+++ b/crates/node/tests/node/support.rs
@@ -1,4 +1,4 @@
-//! One node in this process, with a stand-in platform and scripted back ends.
+//! Runs one node in the test process, with a fake platform and scripted back ends.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,23 +17,23 @@
 pub const CREDENTIAL: &str = "credential-of-readers";
 pub const SECRET: &str = "secret of the test deployment";
 
-/// How a scripted back end treats each request.
+/// What a scripted back end does with each request.
 #[derive(Debug, Clone)]
 pub enum Script {
     /// Sends these bytes.
     Send(String),
     /// Waits, then sends these bytes.
     SendLater(Duration, String),
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     Close,
 }
 
-/// A whole answer with this content.
+/// A complete HTTP response with this body.
 pub fn answer(content: &str) -> String {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{content}", content.len())
 }
 
-/// A back end that keeps the request heads it received, those of health checks left out.
+/// A back end that records the request heads it receives, except those of health checks.
 pub struct BackEnd {
     pub address: SocketAddr,
     pub heads: Arc<Mutex<Vec<String>>>,
@@ -46,16 +46,16 @@
         let address = listener.local_addr().unwrap();
         let heads: Arc<Mutex<Vec<String>>> = Arc::default();
         let answers: Arc<AtomicUsize> = Arc::default();
-        let (kept, counted) = (heads.clone(), answers.clone());
+        let (recorded_heads, answer_count) = (heads.clone(), answers.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve_scripted(stream, script.clone(), kept.clone(), counted.clone()));
+                tokio::spawn(serve_scripted(stream, script.clone(), recorded_heads.clone(), answer_count.clone()));
             }
         });
         BackEnd { address, heads, answers }
     }
 
-    /// Answers that were sent, those to warm-up requests left out.
+    /// Number of responses sent, except those to warm-up requests.
     pub fn answers(&self) -> usize {
         self.answers.load(Ordering::SeqCst)
     }
@@ -112,7 +112,7 @@
     )
 }
 
-async fn platform(back_ends: &[SocketAddr]) -> SocketAddr {
+async fn start_platform(back_ends: &[SocketAddr]) -> SocketAddr {
     let key = SigningKeyPair::from_secret([7; 32]);
     let signed = SignedBundle::signed_by(bundle_from_toml(&bundle_text()).unwrap(), &[key]).to_bytes();
     let instances: Vec<String> = back_ends
@@ -152,10 +152,10 @@
 }
 
 impl TestNode {
-    /// A ready node in front of these back ends.
+    /// Starts a node in front of these back ends and waits until it is ready.
     pub async fn start(back_ends: &[&BackEnd]) -> Self {
         let addresses: Vec<SocketAddr> = back_ends.iter().map(|back_end| back_end.address).collect();
-        let platform = platform(&addresses).await;
+        let platform = start_platform(&addresses).await;
         let public = hex::encode(SigningKeyPair::from_secret([7; 32]).public_key());
         let text = format!(
             "deployment = \"test\"\nnode = \"only\"\nzone = \"a\"\nsecret = \"{SECRET}\"\n\
@@ -177,11 +177,11 @@
             stop: Some(stop),
             running,
         };
-        node.wait_until_serving().await;
+        node.wait_until_ready().await;
         node
     }
 
-    async fn wait_until_serving(&self) {
+    async fn wait_until_ready(&self) {
         loop {
             let ready = exchange(self.admin, "GET /readyz HTTP/1.1\r\nhost: a\r\n\r\n").await;
             let status = exchange(self.caller, &get("/books/warm-up")).await;
@@ -192,24 +192,24 @@
         }
     }
 
-    /// Starts the planned stop; the result says whether no call was cut off.
+    /// Starts the planned stop; the task returns true when no call was cut off.
     pub fn stop(mut self) -> tokio::task::JoinHandle<bool> {
         drop(self.stop.take());
         self.running
     }
 }
 
-/// A well-formed GET of a known reader.
+/// A well-formed GET with a valid credential.
 pub fn get(path: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nhost: a\r\nx-olivegate-credential: {CREDENTIAL}\r\n\r\n")
 }
 
-/// A well-formed POST of a known reader with more head lines.
+/// A well-formed POST with a valid credential and additional header lines.
 pub fn post(path: &str, lines: &str) -> String {
     format!("POST {path} HTTP/1.1\r\nhost: a\r\nx-olivegate-credential: {CREDENTIAL}\r\n{lines}\r\n")
 }
 
-/// Sends text and reads until one whole answer has arrived or the connection ends. A
+/// Sends text and reads until one complete response has arrived or the connection ends. A
 /// body that ends early is marked with `(truncated)`.
 pub async fn exchange(address: SocketAddr, text: &str) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
@@ -217,8 +217,8 @@
     let Some(head) = read_head(&mut stream).await else {
         return String::new();
     };
-    let length = head.to_ascii_lowercase();
-    let length = length.lines().find_map(|line| line.strip_prefix("content-length: ")?.trim().parse().ok());
+    let lower_case = head.to_ascii_lowercase();
+    let length = lower_case.lines().find_map(|line| line.strip_prefix("content-length: ")?.trim().parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
     match stream.read_exact(&mut body).await {
         Ok(_) => head + &String::from_utf8_lossy(&body),
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every mistake is named, flags go before the file.
+//! Settings: every field error is reported, and command-line flags override the file.
 
 use olivegate_node::NodeSettings;
 use olivegate_node::settings::Overrides;
@@ -14,9 +14,9 @@
     )
 }
 
-fn mistakes(text: &str) -> Vec<String> {
-    let mistakes = NodeSettings::from_toml(text, &Overrides::default()).unwrap_err().0;
-    mistakes.into_iter().map(|mistake| mistake.field).collect()
+fn error_fields(text: &str) -> Vec<String> {
+    let errors = NodeSettings::from_toml(text, &Overrides::default()).unwrap_err().0;
+    errors.into_iter().map(|error| error.field).collect()
 }
 
 #[test]
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn flags_go_before_the_file() {
+fn flags_override_the_file() {
     let overrides = Overrides { node: Some("other".into()), new_deployment: true, ..Overrides::default() };
     let settings = NodeSettings::from_toml(&valid(), &overrides).unwrap();
     assert_eq!(settings.node.as_str(), "other");
@@ -35,19 +35,19 @@
 }
 
 #[test]
-fn all_mistakes_are_named_at_once() {
+fn all_field_errors_are_reported_at_once() {
     let text = valid()
         .replace("127.0.0.1:1\"", "nowhere\"")
         .replace("a secret of some length", "short")
         .replace("required = 1", "required = 2")
         .replace("zone = \"a\"", "zone = \"a\"\ncolour = \"green\"");
-    assert_eq!(mistakes(&text), ["secret", "listen.caller", "sign_off.required", "colour"]);
+    assert_eq!(error_fields(&text), ["secret", "listen.caller", "sign_off.required", "colour"]);
 }
 
 #[test]
 fn no_zone_may_hold_a_majority_of_the_seats() {
     for zones in ["\"a\", \"a\", \"b\"", "\"a\", \"b\"", ""] {
         let text = valid().replace("\"a\", \"b\", \"c\"", zones);
-        assert_eq!(mistakes(&text), ["claims.seat_zones"], "{zones}");
+        assert_eq!(error_fields(&text), ["claims.seat_zones"], "{zones}");
     }
 }
