--- a/crates/bench/src/soak/judge_access.rs
+++ b/crates/bench/src/soak/access_checks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use super::judge::{Case, Promise, Violation, of_run};
+use super::checker::{Case, Promise, Violation, of_run};
 use super::record::{CallPurpose, Run};
 use super::tenants::{GUESTS, LIMIT, LIMITED, MEMBERS, TOLERANCE};
 
--- a/crates/bench/src/soak/judge_deadly.rs
+++ b/crates/bench/src/soak/deadly_checks.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
+use super::checker::{Case, Promise, Violation, of_run};
 use super::exchange::is_deadly;
-use super::judge::{Case, Promise, Violation, of_run};
 use super::record::Run;
 
 /// Instances that may end before all nodes have to know the content.
--- a/crates/bench/src/soak/judge_declared.rs
+++ b/crates/bench/src/soak/declared_checks.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use super::judge::{Case, Promise, Violation};
+use super::checker::{Case, Promise, Violation};
 use super::record::{Arrival, Call, CallEnd, Notice, Outage, OutageKind};
 
 /// Length of the window over which arrivals are counted, in seconds.
--- a/crates/bench/src/soak/strike.rs
+++ b/crates/bench/src/soak/fault_injection.rs
@@ -12,11 +12,11 @@
 use tokio::task::spawn_local;
 
 use super::exchange::deadly_path;
+use super::harness::World;
 use super::instance::Instance;
 use super::plan::{Fault, FaultKind, StoreFault};
 use super::record::{Crash, Disturbance, Outage, OutageKind, Stop};
-use super::senders::{Order, Senders};
-use super::world::World;
+use super::traffic::{Order, Senders};
 use crate::error::BenchError;
 
 /// Time that an entry outlives an instance that said nothing.
--- a/crates/bench/src/soak/world.rs
+++ b/crates/bench/src/soak/harness.rs
@@ -17,7 +17,7 @@
 use super::processes::Processes;
 use super::proxy::Way;
 use super::record::{Life, Record};
-use super::senders::Senders;
+use super::traffic::Senders;
 use crate::error::BenchError;
 use crate::spec::DeploymentSpec;
 
--- a/crates/bench/src/soak/instance.rs
+++ b/crates/bench/src/soak/instance.rs
@@ -21,11 +21,11 @@
 use tokio_util::codec::FramedRead;
 
 use super::exchange::{answer_body, is_deadly, request_body, signature};
+use super::fault_injection;
+use super::harness::World;
 use super::plan::InstanceFault;
 use super::record::{Arrival, CallEnd, CallPurpose, NamedRate, Notice, Run};
-use super::senders::{Order, Senders};
-use super::strike;
-use super::world::World;
+use super::traffic::{Order, Senders};
 use crate::spec::EndpointSpec;
 
 /// Path by which an instance is asked whether it is healthy; it tells its name, whoever is meant.
@@ -252,7 +252,7 @@
     let (instance, world) = (instance.clone(), world.clone());
     spawn_local(async move {
         tokio::time::sleep(Duration::from_secs_f64(after)).await;
-        strike::instance_crashes(&world, &instance).await;
+        fault_injection::instance_crashes(&world, &instance).await;
     });
     std::future::pending().await
 }
--- a/crates/bench/src/soak/mod.rs
+++ b/crates/bench/src/soak/mod.rs
@@ -2,35 +2,36 @@
 //! outside them, and the promises judged from what callers and instances saw.
 //!
 //! - [`plan`]: which faults strike when; pure, from a seed.
-//! - [`strike`]: carries them out.
-//! - [`world`]: machines, store and what all parts share; [`processes`]: the programs.
+//! - [`fault_injection`]: carries them out.
+//! - [`harness`]: machines, store and what all parts share; [`processes`]: the programs.
 //! - [`proxy`]: the ways between machines. [`instance`]: emulated instances.
-//! - [`entries`]: what the operator and instances write to the store.
-//! - [`senders`], [`exchange`]: clients, calls and probes.
+//! - [`store_entries`]: what the operator and instances write to the store.
+//! - [`traffic`], [`exchange`]: clients, calls and probes.
 //! - [`tenants`]: whose requests they are.
-//! - [`lateness`]: whether the soak itself keeps up.
-//! - [`judge_lives`]: who was refused although an instance lived; pure.
+//! - [`timer_lag`]: whether the soak itself keeps up.
+//! - [`refusal_checks`]: who was refused although an instance lived; pure.
 //! - [`traces`]: what the programs' logs say of a broken promise.
-//! - [`record`], [`mod@judge`], [`judge_access`], [`judge_deadly`], [`judge_declared`]: what was seen, and which promise was broken; pure.
+//! - [`record`], [`checker`], [`access_checks`], [`deadly_checks`], [`declared_checks`]:
+//!   what was seen, and which promise was broken; pure.
 
-pub mod entries;
+pub mod access_checks;
+pub mod checker;
+pub mod deadly_checks;
+pub mod declared_checks;
 pub mod exchange;
+pub mod fault_injection;
+pub mod harness;
 pub mod instance;
-pub mod judge;
-pub mod judge_access;
-pub mod judge_deadly;
-pub mod judge_declared;
-pub mod judge_lives;
-pub mod lateness;
 pub mod plan;
 pub mod processes;
 pub mod proxy;
 pub mod record;
-pub mod senders;
-pub mod strike;
+pub mod refusal_checks;
+pub mod store_entries;
 pub mod tenants;
+pub mod timer_lag;
 pub mod traces;
-pub mod world;
+pub mod traffic;
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -41,11 +42,11 @@
 use tokio::net::TcpStream;
 use tokio::task::{LocalSet, spawn_local};
 
-use self::judge::{Violation, judge, last_run_after_leaving_s, outcomes};
+use self::checker::{Violation, judge, last_run_after_leaving_s, outcomes};
+use self::harness::World;
 use self::plan::{MEAN_GAP_S, Plan};
 use self::proxy::DatagramEnd;
 use self::record::{Promised, Record};
-use self::world::World;
 use crate::capacity::mix_capacity;
 use crate::error::BenchError;
 use crate::spec::DeploymentSpec;
@@ -151,15 +152,15 @@
         let world = World::new(self.spec.clone(), self.seed, &self.out).await?;
         prepare(&world).await?;
         let begin_s = world.now_s();
-        spawn_local(lateness::watch(world.clone()));
+        spawn_local(timer_lag::watch(world.clone()));
         let per_machine = mix_capacity(&self.spec) * self.load / world.machines.len() as f64;
         for machine in 0..world.machines.len() {
-            spawn_local(senders::clients(world.clone(), machine, per_machine));
-            spawn_local(senders::probes(world.clone(), machine));
-            spawn_local(senders::tenants(world.clone(), machine));
+            spawn_local(traffic::clients(world.clone(), machine, per_machine));
+            spawn_local(traffic::probes(world.clone(), machine));
+            spawn_local(traffic::tenants(world.clone(), machine));
         }
         for fault in &self.plan.faults {
-            spawn_local(strike::strike(world.clone(), *fault, begin_s));
+            spawn_local(fault_injection::strike(world.clone(), *fault, begin_s));
         }
         tokio::time::sleep(Duration::from_secs_f64(self.plan.length_s)).await;
         world.end_traffic();
@@ -189,7 +190,7 @@
             record.leaving.len(),
             last_run_after_leaving_s(record, &PROMISED),
             record.late_part(0.0),
-            record.late_part(record.length_s - judge::LAST_S),
+            record.late_part(record.length_s - checker::LAST_S),
             violations.len(),
         );
         println!("ends: {:?}", outcomes(record));
--- a/crates/bench/src/soak/processes.rs
+++ b/crates/bench/src/soak/processes.rs
@@ -7,7 +7,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-use super::world::Machine;
+use super::harness::Machine;
 use crate::error::BenchError;
 
 /// Bounds that the nodes are told, in their settings' form.
--- a/crates/bench/src/soak/judge_lives.rs
+++ b/crates/bench/src/soak/refusal_checks.rs
@@ -1,6 +1,6 @@
 //! Judges who was refused for want of an instance although a sound one lived. Pure.
 
-use super::judge::{Case, Promise, Violation, of_call};
+use super::checker::{Case, Promise, Violation, of_call};
 use super::record::{Call, CallEnd, CallPurpose, Life};
 
 impl Case<'_> {
--- a/crates/bench/src/soak/entries.rs
+++ b/crates/bench/src/soak/store_entries.rs
@@ -10,10 +10,10 @@
 };
 use olivegate_types::{InstanceName, ServiceName, ZoneName};
 
+use super::harness::{ATTEMPTS, World};
 use super::instance::{HEALTH_PATH, Instance};
 use super::record::Leaving;
 use super::tenants;
-use super::world::{ATTEMPTS, World};
 
 impl World {
     /// The operator writes the next version: the routes of the deployment and one of its own.
--- a/crates/bench/src/soak/lateness.rs
+++ b/crates/bench/src/soak/timer_lag.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use super::harness::World;
 use super::record::Lateness;
-use super::world::World;
 
 /// Interval of the soak's looks at itself.
 const INTERVAL: Duration = Duration::from_millis(20);
--- a/crates/bench/src/soak/senders.rs
+++ b/crates/bench/src/soak/traffic.rs
@@ -10,9 +10,9 @@
 use tokio::task::spawn_local;
 
 use super::exchange::{Connection, Request};
+use super::harness::{ATTEMPTS, World};
 use super::record::{Call, CallEnd, CallPurpose};
 use super::tenants;
-use super::world::{ATTEMPTS, World};
 
 /// Time that clients give a request.
 const CLIENT_TIME: Duration = Duration::from_secs(2);
--- a/crates/bench/tests/soak.rs
+++ b/crates/bench/tests/soak.rs
@@ -1,7 +1,7 @@
 //! The soak's plan and judge: plans repeat from their seed, and every promise can be seen broken.
 
 use olivegate_bench::soak::PROMISED;
-use olivegate_bench::soak::judge::{Promise, judge, last_run_after_leaving_s};
+use olivegate_bench::soak::checker::{Promise, judge, last_run_after_leaving_s};
 use olivegate_bench::soak::plan::{CALM_END_S, CALM_START_S, Fault, FaultKind, LinkFault, Plan};
 use olivegate_bench::soak::record::{
     Call, CallEnd, CallPurpose, Crash, Disturbance, Lateness, Leaving, Life, Record, Run, Stop,
--- a/crates/bench/tests/soak_declared.rs
+++ b/crates/bench/tests/soak_declared.rs
@@ -2,7 +2,7 @@
 //! what is excused or allowed just so is not.
 
 use olivegate_bench::soak::PROMISED;
-use olivegate_bench::soak::judge::{Promise, judge};
+use olivegate_bench::soak::checker::{Promise, judge};
 use olivegate_bench::soak::plan::{FaultKind, Plan};
 use olivegate_bench::soak::record::{
     Arrival, Call, CallEnd, CallPurpose, NamedRate, Notice, Outage, OutageKind, Record, Run,
