--- a/crates/bench/src/back_ends/steer.rs
+++ b/crates/bench/src/back_ends/control_port.rs
@@ -45,7 +45,7 @@
         [verb, name, number] => {
             let number = number.parse().unwrap_or(0);
             for instance in world.instances.iter().filter(|instance| concerns(instance, name)) {
-                steer(instance, verb, number);
+                apply(instance, verb, number);
             }
             Vec::new()
         }
@@ -58,7 +58,7 @@
     name == "all" || instance.name == name || instance.service == name
 }
 
-fn steer(instance: &Instance, verb: &str, number: u32) {
+fn apply(instance: &Instance, verb: &str, number: u32) {
     match verb {
         "slow" => instance.slow.store(number, Ordering::Relaxed),
         "break" => instance.breaking.store(number, Ordering::Relaxed),
--- a/crates/bench/src/back_ends/onward.rs
+++ b/crates/bench/src/back_ends/downstream.rs
@@ -26,7 +26,7 @@
 
 /// Client side of the back ends.
 #[derive(Default)]
-pub struct Onward {
+pub struct DownstreamClient {
     pool: HttpPool,
     turns: Mutex<HashMap<String, AtomicUsize>>,
 }
@@ -37,7 +37,7 @@
     pub own_us: u64,
 }
 
-impl Onward {
+impl DownstreamClient {
     /// Makes one call; `None` when it failed.
     pub async fn call(&self, world: &World, parent: &HeaderMap, call: &str, token: &str) -> Option<Done> {
         let node: Option<SocketAddr> = text(parent, header::DISPATCHED_BY).and_then(|text| text.parse().ok());
--- a/crates/bench/src/back_ends/instance.rs
+++ b/crates/bench/src/back_ends/instance.rs
@@ -199,7 +199,7 @@
     let mut own_us = 0;
     for (index, call) in endpoint.calls.iter().enumerate() {
         let token = format!("{token}/{index}");
-        match world.onward.call(world, headers, call, &token).await {
+        match world.downstream.call(world, headers, call, &token).await {
             Some(done) => {
                 work_us += done.work_us;
                 own_us += done.own_us;
--- a/crates/bench/src/back_ends/mod.rs
+++ b/crates/bench/src/back_ends/mod.rs
@@ -4,11 +4,11 @@
 //! starts, draining, shedding, cancellation, deadlines and misleading health. They are
 //! steered over an HTTP control port, which also hands out the executions.
 //!
-//! - [`instance`]: one instance. [`onward`]: calls on behalf. [`steer`]: the control port.
+//! - [`instance`]: one instance. [`downstream`]: calls on behalf. [`control_port`]: the control port.
 
+pub mod control_port;
+pub mod downstream;
 pub mod instance;
-pub mod onward;
-pub mod steer;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     pub instances: Vec<Arc<Instance>>,
     pub addresses: Mutex<HashMap<String, SocketAddr>>,
     pub executions: Mutex<Vec<Execution>>,
-    pub onward: onward::Onward,
+    pub downstream: downstream::DownstreamClient,
 }
 
 /// Runs the emulator until its input ends; prints its addresses as one line of JSON.
@@ -80,12 +80,12 @@
         instances,
         addresses: Mutex::new(addresses),
         executions: Mutex::default(),
-        onward: onward::Onward::default(),
+        downstream: downstream::DownstreamClient::default(),
     });
     for (instance, listener) in world.instances.iter().zip(listeners) {
         tokio::spawn(instance::serve(world.clone(), instance.clone(), listener));
     }
-    tokio::spawn(steer::serve(world.clone(), control));
+    tokio::spawn(control_port::serve(world.clone(), control));
     let addresses = BackEndAddresses { control: control_address, instances: listed };
     println!("{}", serde_json::to_string(&addresses).unwrap_or_default());
     wait_for_end_of_input().await;
