--- a/crates/bench/src/back_ends/instance.rs
+++ b/crates/bench/src/back_ends/instance.rs
@@ -17,25 +17,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-use crate::back_ends::World;
+use crate::back_ends::Emulator;
 use crate::history::Execution;
 use crate::spec::{EndpointSpec, ServiceSpec};
 use crate::wall_clock::unix_us;
 
-/// Header with the client's unique text; back ends append `/N` for calls on behalf.
+/// Header with the unique token of a call; back ends append `/N` for their downstream calls.
 pub const TOKEN: &str = "x-bench-token";
-/// Header with the time that back ends worked for a call, in microseconds.
+/// Response header with the time that back ends spent processing a call, in microseconds.
 pub const WORK_US: &str = "x-bench-work-us";
-/// A new connection costs this much.
+/// Time that accepting a new connection takes.
 const CONNECT_COST: Duration = Duration::from_millis(1);
-/// Requests that may wait in an instance, as a multiple of its slots.
+/// Longest queue of an instance, as a multiple of its slots; further requests are shed.
 const BACKLOG_PER_SLOT: u32 = 4;
-/// A cold instance is slower by this factor...
+/// Factor on the service times of an instance after a cold start.
 const COLD_FACTOR: f64 = 4.0;
-/// ...for this long.
+/// Time that a cold start affects service times.
 const COLD_TIME: Duration = Duration::from_secs(2);
 
-/// An instance and how it currently misbehaves.
+/// An emulated instance and the faults currently injected into it.
 pub struct Instance {
     pub name: String,
     pub service: String,
@@ -45,16 +45,17 @@
     connections: AtomicUsize,
     max_connections: usize,
     pub leaving: AtomicBool,
-    pub lying: AtomicBool,
-    /// Slowness in thousandths.
-    pub slow: AtomicU32,
-    /// Probability, in thousandths, of breaking a connection instead of answering.
-    pub breaking: AtomicU32,
+    /// The health check does not report that the instance is leaving.
+    pub hides_leaving: AtomicBool,
+    /// Factor on the service times, in thousandths.
+    pub slowdown_per_mille: AtomicU32,
+    /// Probability, in thousandths, that a connection is closed instead of a response being sent.
+    pub break_per_mille: AtomicU32,
     pub cold_since: Mutex<Option<Instant>>,
 }
 
 impl Instance {
-    /// A healthy instance of `service`.
+    /// Creates a healthy instance of `service`.
     pub fn new(name: String, service: &ServiceSpec) -> Self {
         Instance {
             name,
@@ -65,22 +66,23 @@
             connections: AtomicUsize::new(0),
             max_connections: service.connections,
             leaving: AtomicBool::new(false),
-            lying: AtomicBool::new(false),
-            slow: AtomicU32::new(1_000),
-            breaking: AtomicU32::new(0),
+            hides_leaving: AtomicBool::new(false),
+            slowdown_per_mille: AtomicU32::new(1_000),
+            break_per_mille: AtomicU32::new(0),
             cold_since: Mutex::default(),
         }
     }
 
-    fn slowness(&self) -> f64 {
-        let cold = self.cold_since.lock().ok().and_then(|since| *since);
-        let cold = cold.is_some_and(|since| since.elapsed() < COLD_TIME);
-        f64::from(self.slow.load(Ordering::Relaxed)) / 1_000.0 * if cold { COLD_FACTOR } else { 1.0 }
+    fn service_time_factor(&self) -> f64 {
+        let warming_up = self.cold_since.lock().ok().and_then(|since| *since);
+        let warming_up = warming_up.is_some_and(|since| since.elapsed() < COLD_TIME);
+        f64::from(self.slowdown_per_mille.load(Ordering::Relaxed)) / 1_000.0
+            * if warming_up { COLD_FACTOR } else { 1.0 }
     }
 }
 
 /// Serves an instance's port.
-pub async fn serve(world: Arc<World>, instance: Arc<Instance>, listener: TcpListener) {
+pub async fn serve(emulator: Arc<Emulator>, instance: Arc<Instance>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
@@ -88,70 +90,71 @@
         if instance.connections.load(Ordering::Relaxed) >= instance.max_connections {
             continue;
         }
-        tokio::spawn(connection(world.clone(), instance.clone(), stream));
+        tokio::spawn(serve_connection(emulator.clone(), instance.clone(), stream));
     }
 }
 
-async fn connection(world: Arc<World>, instance: Arc<Instance>, stream: TcpStream) {
+async fn serve_connection(emulator: Arc<Emulator>, instance: Arc<Instance>, stream: TcpStream) {
     instance.connections.fetch_add(1, Ordering::Relaxed);
     let _ = stream.set_nodelay(true);
     tokio::time::sleep(CONNECT_COST).await;
-    let service = service_fn(|request| handle(world.clone(), instance.clone(), request));
+    let service = service_fn(|request| handle(emulator.clone(), instance.clone(), request));
     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
     instance.connections.fetch_sub(1, Ordering::Relaxed);
 }
 
-type Answer = Response<Full<Bytes>>;
+type InstanceResponse = Response<Full<Bytes>>;
 
-/// An emulated crash of one exchange: hyper closes the connection without an answer.
+/// Error that makes hyper close the connection without a response; emulates a crash during one
+/// exchange.
 #[derive(Debug)]
-struct ConnectionBroken;
+struct InjectedDisconnect;
 
-impl std::fmt::Display for ConnectionBroken {
+impl std::fmt::Display for InjectedDisconnect {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("connection broken on purpose")
+        formatter.write_str("injected fault: connection closed without a response")
     }
 }
 
-impl std::error::Error for ConnectionBroken {}
+impl std::error::Error for InjectedDisconnect {}
 
 async fn handle(
-    world: Arc<World>,
+    emulator: Arc<Emulator>,
     instance: Arc<Instance>,
     request: Request<Incoming>,
-) -> Result<Answer, ConnectionBroken> {
+) -> Result<InstanceResponse, InjectedDisconnect> {
     if request.uri().path() == "/health" {
         return Ok(health(&instance));
     }
     let call = format!("{} {}", request.method(), request.uri().path());
-    let Some(endpoint) = world.spec.endpoint(&call).filter(|e| e.service == instance.service).cloned() else {
-        return Ok(status(404));
+    let Some(endpoint) = emulator.spec.endpoint(&call).filter(|e| e.service == instance.service).cloned() else {
+        return Ok(empty_response(404));
     };
     if instance.leaving.load(Ordering::Relaxed) {
         return Ok(not_started(true));
     }
     let headers = request.headers().clone();
     drop(request);
-    let started = Instant::now();
-    let Some(_slot) = slot(&instance).await else {
+    let received_at = Instant::now();
+    let Some(_slot) = acquire_slot(&instance).await else {
         return Ok(not_started(false));
     };
-    if deadline_passed(&headers, started) {
+    if deadline_passed(&headers, received_at) {
         return Ok(not_started(false));
     }
-    execute(&world, &instance, &endpoint, &headers).await
+    execute(&emulator, &instance, &endpoint, &headers).await
 }
 
-fn health(instance: &Instance) -> Answer {
-    let mut answer = status(200);
-    let leaving = instance.leaving.load(Ordering::Relaxed) && !instance.lying.load(Ordering::Relaxed);
-    answer
+fn health(instance: &Instance) -> InstanceResponse {
+    let mut response = empty_response(200);
+    let leaving = instance.leaving.load(Ordering::Relaxed) && !instance.hides_leaving.load(Ordering::Relaxed);
+    response
         .headers_mut()
         .insert(header::LEAVING, hyper::header::HeaderValue::from_static(if leaving { "true" } else { "false" }));
-    answer
+    response
 }
 
-async fn slot(instance: &Instance) -> Option<tokio::sync::SemaphorePermit<'_>> {
+async fn acquire_slot(instance: &Instance) -> Option<tokio::sync::SemaphorePermit<'_>> {
     if let Ok(permit) = instance.slots.try_acquire() {
         return Some(permit);
     }
@@ -159,66 +162,66 @@
         instance.waiting.fetch_sub(1, Ordering::Relaxed);
         return None;
     }
-    let waiting = Waiting(instance);
+    let waiting = WaitingGuard(instance);
     let permit = instance.slots.acquire().await.ok();
     drop(waiting);
     permit
 }
 
-struct Waiting<'a>(&'a Instance);
+struct WaitingGuard<'a>(&'a Instance);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.waiting.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-fn deadline_passed(headers: &HeaderMap, started: Instant) -> bool {
-    let deadline: Option<u64> = text(headers, header::DEADLINE_MS).and_then(|text| text.parse().ok());
-    deadline.is_some_and(|deadline| started.elapsed() >= Duration::from_millis(deadline))
+fn deadline_passed(headers: &HeaderMap, received_at: Instant) -> bool {
+    let deadline: Option<u64> = header_text(headers, header::DEADLINE_MS).and_then(|value| value.parse().ok());
+    deadline.is_some_and(|deadline| received_at.elapsed() >= Duration::from_millis(deadline))
 }
 
-/// Text of a header.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// Value of a header, if it is present and is valid text.
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
 async fn execute(
-    world: &Arc<World>,
+    emulator: &Arc<Emulator>,
     instance: &Arc<Instance>,
     endpoint: &EndpointSpec,
     headers: &HeaderMap,
-) -> Result<Answer, ConnectionBroken> {
-    let token = text(headers, TOKEN).unwrap_or_default().to_string();
-    let record = Record::begin(world, instance, endpoint, headers, &token);
-    let mut random = StdRng::seed_from_u64(world.seed ^ crc(&token));
-    let factor = random.random_range(0.5..1.5) * instance.slowness();
-    let began = Instant::now();
+) -> Result<InstanceResponse, InjectedDisconnect> {
+    let token = header_text(headers, TOKEN).unwrap_or_default().to_string();
+    let guard = ExecutionGuard::begin(emulator, instance, endpoint, headers, &token);
+    let mut random = StdRng::seed_from_u64(emulator.seed ^ fnv1a(&token));
+    let factor = random.random_range(0.5..1.5) * instance.service_time_factor();
+    let work_start = Instant::now();
     tokio::time::sleep(Duration::from_secs_f64(endpoint.service_ms as f64 * factor / 1_000.0)).await;
-    let mut work_us = began.elapsed().as_micros() as u64;
+    let mut work_us = work_start.elapsed().as_micros() as u64;
     let mut own_us = 0;
     for (index, call) in endpoint.calls.iter().enumerate() {
         let token = format!("{token}/{index}");
-        match world.downstream.call(world, headers, call, &token).await {
-            Some(done) => {
-                work_us += done.work_us;
-                own_us += done.own_us;
+        match emulator.downstream.call(emulator, headers, call, &token).await {
+            Some(result) => {
+                work_us += result.work_us;
+                own_us += result.own_us;
             }
-            None => return Ok(status(503)),
+            None => return Ok(empty_response(503)),
         }
     }
-    if random.random_range(0..1_000) < instance.breaking.load(Ordering::Relaxed) {
-        return Err(ConnectionBroken);
+    if random.random_range(0..1_000) < instance.break_per_mille.load(Ordering::Relaxed) {
+        return Err(InjectedDisconnect);
     }
-    record.complete();
-    Ok(whole_answer(&token, endpoint, work_us, own_us))
+    guard.complete();
+    Ok(complete_response(&token, endpoint, work_us, own_us))
 }
 
-fn crc(text: &str) -> u64 {
+fn fnv1a(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// The content of a whole answer: the token, then filling up to the endpoint's size.
+/// Body of a complete response: the token and a line feed, padded to the endpoint's size.
 pub fn expected_body(token: &str, size: usize) -> Vec<u8> {
     let mut body = format!("{token}\n").into_bytes();
     let length = size.max(body.len());
@@ -226,39 +229,40 @@
     body
 }
 
-fn whole_answer(token: &str, endpoint: &EndpointSpec, work_us: u64, own_us: u64) -> Answer {
-    let mut answer = Response::new(Full::from(expected_body(token, endpoint.body_bytes)));
-    let headers = answer.headers_mut();
+fn complete_response(token: &str, endpoint: &EndpointSpec, work_us: u64, own_us: u64) -> InstanceResponse {
+    let mut response = Response::new(Full::from(expected_body(token, endpoint.body_bytes)));
+    let headers = response.headers_mut();
     headers.insert(WORK_US, work_us.into());
     headers.insert(header::OWN_PROCESSING_US, own_us.into());
-    answer
+    response
 }
 
-fn status(code: u16) -> Answer {
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
-    answer
+fn empty_response(code: u16) -> InstanceResponse {
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
+    response
 }
 
-fn not_started(leaving: bool) -> Answer {
-    let mut answer = status(503);
-    let yes = hyper::header::HeaderValue::from_static("true");
-    answer.headers_mut().insert(header::NOT_STARTED, yes.clone());
+fn not_started(leaving: bool) -> InstanceResponse {
+    let mut response = empty_response(503);
+    let true_value = hyper::header::HeaderValue::from_static("true");
+    response.headers_mut().insert(header::NOT_STARTED, true_value.clone());
     if leaving {
-        answer.headers_mut().insert(header::LEAVING, yes);
+        response.headers_mut().insert(header::LEAVING, true_value);
     }
-    answer
+    response
 }
 
-/// The record of one execution; left uncompleted when the execution is cancelled.
-struct Record {
-    world: Arc<World>,
+/// Records one execution. Dropping the guard sets the end time; a cancelled execution is
+/// therefore recorded with its end, but not as completed.
+struct ExecutionGuard {
+    emulator: Arc<Emulator>,
     index: usize,
 }
 
-impl Record {
+impl ExecutionGuard {
     fn begin(
-        world: &Arc<World>,
+        emulator: &Arc<Emulator>,
         instance: &Instance,
         endpoint: &EndpointSpec,
         headers: &HeaderMap,
@@ -266,18 +270,18 @@
     ) -> Self {
         let execution = Execution {
             token: token.to_string(),
-            request: text(headers, header::REQUEST_ID).unwrap_or_default().to_string(),
+            request: header_text(headers, header::REQUEST_ID).unwrap_or_default().to_string(),
             call: endpoint.call.clone(),
             instance: instance.name.clone(),
-            key: text(headers, header::IDEMPOTENCY_KEY).map(str::to_string),
-            attempt: text(headers, header::ATTEMPT).and_then(|text| text.parse().ok()).unwrap_or(0),
+            key: header_text(headers, header::IDEMPOTENCY_KEY).map(str::to_string),
+            attempt: header_text(headers, header::ATTEMPT).and_then(|value| value.parse().ok()).unwrap_or(0),
             start_us: unix_us(),
             end_us: 0,
             completed: false,
         };
-        let mut executions = world.executions.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut executions = emulator.executions.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         executions.push(execution);
-        Record { world: world.clone(), index: executions.len() - 1 }
+        ExecutionGuard { emulator: emulator.clone(), index: executions.len() - 1 }
     }
 
     fn complete(&self) {
@@ -285,14 +289,14 @@
     }
 
     fn update(&self, change: impl FnOnce(&mut Execution)) {
-        let mut executions = self.world.executions.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut executions = self.emulator.executions.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         if let Some(execution) = executions.get_mut(self.index) {
             change(execution);
         }
     }
 }
 
-impl Drop for Record {
+impl Drop for ExecutionGuard {
     fn drop(&mut self) {
         self.update(|execution| execution.end_us = unix_us());
     }
--- a/crates/bench/src/back_ends/mod.rs
+++ b/crates/bench/src/back_ends/mod.rs
@@ -1,10 +1,12 @@
-//! Emulator of back ends: a process with all instances of a deployment.
+//! Back end emulator: one process that runs all instances of a deployment.
 //!
-//! Instances have slots, service times, a connection limit, 1 ms connects, cold
-//! starts, draining, shedding, cancellation, deadlines and misleading health. They are
-//! steered over an HTTP control port, which also hands out the executions.
+//! Instances emulate concurrency slots, service times, a connection limit, a connect time of
+//! 1 ms, cold starts, draining, load shedding, cancellation, deadlines and misleading health
+//! checks. An HTTP control port injects faults and returns the recorded executions.
 //!
-//! - [`instance`]: one instance. [`downstream`]: calls on behalf. [`control_port`]: the control port.
+//! - [`instance`]: one emulated instance.
+//! - [`downstream`]: calls that an instance makes to other back ends.
+//! - [`control_port`]: the control port.
 
 pub mod control_port;
 pub mod downstream;
@@ -23,17 +25,17 @@
 use crate::spec::DeploymentSpec;
 use instance::Instance;
 
-/// Where the emulator's ports are.
+/// Addresses that the emulator listens on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BackEndAddresses {
     /// Control port.
     pub control: SocketAddr,
-    /// Instances: name, service, zone, address.
+    /// Name, service, zone and address of each instance.
     pub instances: Vec<(String, String, String, SocketAddr)>,
 }
 
-/// State shared by all instances.
-pub struct World {
+/// State shared by all emulated instances.
+pub struct Emulator {
     pub spec: DeploymentSpec,
     pub seed: u64,
     pub instances: Vec<Arc<Instance>>,
@@ -42,7 +44,7 @@
     pub downstream: downstream::DownstreamClient,
 }
 
-/// Runs the emulator until its input ends; prints its addresses as one line of JSON.
+/// Runs the emulator until its standard input is closed; prints its addresses as one line of JSON.
 pub fn run(spec_file: &Path, seed: u64) -> Result<(), BenchError> {
     let spec = DeploymentSpec::read(spec_file)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
@@ -60,21 +62,21 @@
 async fn serve(spec: DeploymentSpec, seed: u64) -> Result<(), BenchError> {
     let mut instances = Vec::new();
     let mut listeners = Vec::new();
-    let mut listed = Vec::new();
+    let mut instance_addresses = Vec::new();
     let mut addresses = HashMap::new();
     for service in &spec.services {
         for index in 0..service.instances {
             let name = format!("{}-{index}", service.name);
             let zone = spec.zones[index % spec.zones.len()].clone();
             let (listener, address) = bind().await?;
-            listed.push((name.clone(), service.name.clone(), zone, address));
+            instance_addresses.push((name.clone(), service.name.clone(), zone, address));
             addresses.insert(name.clone(), address);
             instances.push(Arc::new(Instance::new(name, service)));
             listeners.push(listener);
         }
     }
     let (control, control_address) = bind().await?;
-    let world = Arc::new(World {
+    let emulator = Arc::new(Emulator {
         spec,
         seed,
         instances,
@@ -82,18 +84,19 @@
         executions: Mutex::default(),
         downstream: downstream::DownstreamClient::default(),
     });
-    for (instance, listener) in world.instances.iter().zip(listeners) {
-        tokio::spawn(instance::serve(world.clone(), instance.clone(), listener));
+    for (instance, listener) in emulator.instances.iter().zip(listeners) {
+        tokio::spawn(instance::serve(emulator.clone(), instance.clone(), listener));
     }
-    tokio::spawn(control_port::serve(world.clone(), control));
-    let addresses = BackEndAddresses { control: control_address, instances: listed };
+    tokio::spawn(control_port::serve(emulator.clone(), control));
+    let addresses = BackEndAddresses { control: control_address, instances: instance_addresses };
     println!("{}", serde_json::to_string(&addresses).unwrap_or_default());
-    wait_for_end_of_input().await;
+    wait_for_stdin_eof().await;
     Ok(())
 }
 
-/// The parent's end closes the input, so that no process is left behind.
-pub async fn wait_for_end_of_input() {
+/// Returns when standard input is closed. The parent holds the other end of the pipe, so the
+/// process ends with its parent, also when the parent is killed.
+pub async fn wait_for_stdin_eof() {
     use tokio::io::AsyncReadExt;
     let mut buffer = [0; 64];
     let mut input = tokio::io::stdin();
--- a/crates/bench/src/forwarder.rs
+++ b/crates/bench/src/forwarder.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::back_ends::wait_for_end_of_input;
+use crate::back_ends::wait_for_stdin_eof;
 use crate::error::BenchError;
 
 /// Header by which one forwarder tells the next which instance was chosen.
@@ -71,7 +71,7 @@
             });
         }
     });
-    wait_for_end_of_input().await;
+    wait_for_stdin_eof().await;
     Ok(())
 }
 
--- a/crates/bench/src/load/driver.rs
+++ b/crates/bench/src/load/driver.rs
@@ -6,7 +6,7 @@
 
 use olivegate_types::header;
 
-use crate::back_ends::instance::{TOKEN, WORK_US, expected_body, text};
+use crate::back_ends::instance::{TOKEN, WORK_US, expected_body, header_text};
 use crate::history::{CallEnd, ClientCall};
 use crate::load::client::{Exchange, HttpPool, WholeAnswer};
 use crate::load::schedule::Arrival;
@@ -173,8 +173,8 @@
 }
 
 fn read_answer(call: &mut ClientCall, answer: &WholeAnswer, size: usize) {
-    let number = |name| text(&answer.headers, name).and_then(|text| text.parse().ok()).unwrap_or(0);
-    let copied = |name| text(&answer.headers, name).unwrap_or_default().to_string();
+    let number = |name| header_text(&answer.headers, name).and_then(|value| value.parse().ok()).unwrap_or(0);
+    let copied = |name| header_text(&answer.headers, name).unwrap_or_default().to_string();
     call.status = answer.status;
     call.outcome = copied(header::OUTCOME);
     call.request = copied(header::REQUEST_ID);
