--- a/crates/bench/src/arms.rs
+++ b/crates/bench/src/arms.rs
@@ -13,7 +13,7 @@
 use crate::fleet::Fleet;
 use crate::forwarder::Table;
 use crate::links::Links;
-use crate::load::driver::Targets;
+use crate::load::driver::TargetSelector;
 use crate::load::schedule::Arrival;
 use crate::spec::DeploymentSpec;
 
@@ -49,7 +49,7 @@
 
 /// A running system under test.
 pub struct System {
-    pub targets: Targets,
+    pub targets: TargetSelector,
     pub fleet: Option<Fleet>,
     pub links: Option<Links>,
     helpers: Vec<Helper>,
@@ -71,9 +71,9 @@
 }
 
 /// A different target for each attempt of a request.
-fn in_turn(nodes: Vec<(String, SocketAddr)>) -> Targets {
+fn in_turn(nodes: Vec<(String, SocketAddr)>) -> TargetSelector {
     Arc::new(move |arrival: &Arrival, attempt: u32| {
-        let index = arrival.pick.wrapping_add(u64::from(attempt)) % nodes.len().max(1) as u64;
+        let index = arrival.target_choice.wrapping_add(u64::from(attempt)) % nodes.len().max(1) as u64;
         nodes.get(index as usize).cloned()
     })
 }
@@ -84,7 +84,7 @@
     for (name, service, _, address) in &addresses.instances {
         by_service.entry(service.clone()).or_default().0.push((name.clone(), *address));
     }
-    let targets: Targets = Arc::new(move |arrival: &Arrival, _| {
+    let targets: TargetSelector = Arc::new(move |arrival: &Arrival, _| {
         let service = arrival.call.split('/').nth(1).unwrap_or_default();
         let (instances, turn) = by_service.get(service)?;
         instances.get(turn.fetch_add(1, Ordering::Relaxed) % instances.len()).cloned()
--- a/crates/bench/src/load/client.rs
+++ b/crates/bench/src/load/client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 connections of clients, kept alive.
+//! HTTP/1.1 client with a pool of keep-alive connections.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,33 +12,33 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// A whole answer.
-pub struct WholeAnswer {
+/// A response that was received completely.
+pub struct CompleteResponse {
     pub status: u16,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-/// What became of an exchange.
+/// Result of an exchange.
 pub enum Exchange {
-    /// A whole answer arrived.
-    Answered(WholeAnswer),
-    /// The connection broke.
+    /// A complete response was received.
+    Answered(CompleteResponse),
+    /// The connection failed before the response was complete.
     Broken,
-    /// No answer in time.
+    /// There was no complete response within the timeout.
     TimedOut,
-    /// No connection.
+    /// No connection could be established.
     NotConnected,
 }
 
-/// Idle connections by address.
+/// Pool of idle connections by target address.
 #[derive(Default)]
 pub struct HttpPool {
     idle: Mutex<HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>>,
 }
 
 impl HttpPool {
-    fn take(&self, target: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+    fn take_idle(&self, target: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
         let mut idle = self.idle.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let connections = idle.get_mut(&target)?;
         while let Some(connection) = connections.pop() {
@@ -49,12 +49,13 @@
         None
     }
 
-    fn give_back(&self, target: SocketAddr, connection: SendRequest<Full<Bytes>>) {
+    fn return_idle(&self, target: SocketAddr, connection: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         idle.entry(target).or_default().push(connection);
     }
 
-    /// One request and its whole answer.
+    /// Sends one request without a body and reads the response. A request that an idle connection
+    /// did not send is sent again on a new connection.
     pub async fn exchange(
         &self,
         target: SocketAddr,
@@ -63,17 +64,17 @@
         headers: &[(&str, String)],
         timeout: Duration,
     ) -> Exchange {
-        let exchange = self.run(target, method, path, headers);
+        let exchange = self.send(target, method, path, headers);
         tokio::time::timeout(timeout, exchange).await.unwrap_or(Exchange::TimedOut)
     }
 
-    async fn run(&self, target: SocketAddr, method: &str, path: &str, headers: &[(&str, String)]) -> Exchange {
-        let mut request = build(target, method, path, headers);
-        if let Some(mut connection) = self.take(target) {
+    async fn send(&self, target: SocketAddr, method: &str, path: &str, headers: &[(&str, String)]) -> Exchange {
+        let mut request = build_request(target, method, path, headers);
+        if let Some(mut connection) = self.take_idle(target) {
             match connection.try_send_request(request).await {
-                Ok(response) => return self.finish(target, connection, response).await,
+                Ok(response) => return self.read_response(target, connection, response).await,
                 Err(mut error) => match error.take_message() {
-                    Some(unsent) => request = unsent,
+                    Some(unsent_request) => request = unsent_request,
                     None => return Exchange::Broken,
                 },
             }
@@ -82,12 +83,12 @@
             return Exchange::NotConnected;
         };
         match connection.send_request(request).await {
-            Ok(response) => self.finish(target, connection, response).await,
+            Ok(response) => self.read_response(target, connection, response).await,
             Err(_) => Exchange::Broken,
         }
     }
 
-    async fn finish(
+    async fn read_response(
         &self,
         target: SocketAddr,
         mut connection: SendRequest<Full<Bytes>>,
@@ -98,14 +99,19 @@
             return Exchange::Broken;
         };
         if connection.ready().await.is_ok() {
-            self.give_back(target, connection);
+            self.return_idle(target, connection);
         }
         let body = collected.to_bytes();
-        Exchange::Answered(WholeAnswer { status: parts.status.as_u16(), headers: parts.headers, body })
+        Exchange::Answered(CompleteResponse { status: parts.status.as_u16(), headers: parts.headers, body })
     }
 }
 
-fn build(target: SocketAddr, method: &str, path: &str, headers: &[(&str, String)]) -> Request<Full<Bytes>> {
+fn build_request(
+    target: SocketAddr,
+    method: &str,
+    path: &str,
+    headers: &[(&str, String)],
+) -> Request<Full<Bytes>> {
     let mut builder = Request::builder().method(method).uri(path).header("host", target.to_string());
     for (name, value) in headers {
         builder = builder.header(*name, value);
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -1,7 +1,8 @@
-//! Clients.
+//! Load generator: the clients of an experiment.
 //!
-//! - [`client`]: HTTP connections. [`schedule`]: when which request is made.
-//! - [`driver`]: makes the requests and records them.
+//! - [`schedule`]: arrival times and kinds of the requests.
+//! - [`client`]: HTTP client with pooled connections.
+//! - [`driver`]: sends the requests and records each call.
 
 pub mod client;
 pub mod driver;
--- a/crates/bench/src/load/schedule.rs
+++ b/crates/bench/src/load/schedule.rs
@@ -1,18 +1,18 @@
-//! When which request is made: open loop, Poisson arrivals, seeded.
+//! Arrival schedule of the requests: open loop, with seeded Poisson arrivals.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 use crate::spec::DeploymentSpec;
 
-/// Requests per second from a point on, in seconds after the start.
+/// Arrival rate from a point in time on, in seconds after the start.
 #[derive(Debug, Clone, Copy)]
 pub struct Phase {
     pub from: f64,
     pub per_second: f64,
 }
 
-/// One logical request.
+/// A logical request: the first attempt and its retries.
 #[derive(Debug, Clone)]
 pub struct Arrival {
     pub logical: u64,
@@ -20,11 +20,12 @@
     pub at: f64,
     pub call: String,
     pub group: usize,
-    /// Number that chooses the node.
-    pub pick: u64,
+    /// Random number from which the target is derived.
+    pub target_choice: u64,
 }
 
-/// All requests of an experiment of `seconds`.
+/// All logical requests of an experiment of `seconds`. `greedy` names a group, by its index, and
+/// the factor on its share of the requests.
 pub fn arrivals(
     spec: &DeploymentSpec,
     phases: &[Phase],
@@ -55,14 +56,14 @@
         arrivals.push(Arrival {
             logical: arrivals.len() as u64,
             at,
-            call: weighted(&calls, &mut random).to_string(),
-            group: weighted(&groups, &mut random),
-            pick: random.random(),
+            call: choose_weighted(&calls, &mut random).to_string(),
+            group: choose_weighted(&groups, &mut random),
+            target_choice: random.random(),
         });
     }
 }
 
-fn weighted<T: Copy>(items: &[(T, f64)], random: &mut StdRng) -> T {
+fn choose_weighted<T: Copy>(items: &[(T, f64)], random: &mut StdRng) -> T {
     let total: f64 = items.iter().map(|(_, weight)| weight).sum();
     let mut point = random.random::<f64>() * total;
     for (item, weight) in items {
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -104,7 +104,7 @@
 const SURGE: f64 = 3.0;
 
 fn patient() -> ClientBehaviour {
-    ClientBehaviour { attempts: 1, honours_retry_after: true, deadline_ms: 1_000, duplicates: false }
+    ClientBehaviour { attempts: 1, honours_retry_after: true, deadline_ms: 1_000, sends_duplicates: false }
 }
 
 fn polite_retries() -> ClientBehaviour {
@@ -221,14 +221,14 @@
             "full-restart" => {
                 scenario.actions = vec![(begin, Action::KillAll), (at(0.35), Action::StartAll)];
             }
-            "duplicate-send" => scenario.behaviour.duplicates = true,
+            "duplicate-send" => scenario.behaviour.sends_duplicates = true,
             "kill-during-cut" => {
                 scenario.actions = cut_between(begin, end, false);
                 scenario.actions.insert(1, (at(0.4), Action::Kill(nodes - 1)));
                 scenario.actions.push((at(0.7), Action::Start(nodes - 1)));
             }
             "freeze-during-seat-change" => {
-                scenario.behaviour.duplicates = true;
+                scenario.behaviour.sends_duplicates = true;
                 scenario.actions = vec![
                     (begin, Action::Kill(0)),
                     (at(0.32), Action::Freeze(1, 3_000)),
@@ -236,7 +236,7 @@
                 ];
             }
             "all-at-once" => {
-                scenario.behaviour.duplicates = true;
+                scenario.behaviour.sends_duplicates = true;
                 scenario.actions = random_schedule(seconds, seed, nodes, zones);
             }
             _ => return None,
