--- a/crates/bench/src/arms.rs
+++ b/crates/bench/src/arms.rs
@@ -11,7 +11,7 @@
 use crate::error::BenchError;
 use crate::experiment::{Helper, helpers_seconds};
 use crate::fleet::Fleet;
-use crate::forwarder::Table;
+use crate::forwarder::ForwarderConfig;
 use crate::links::Links;
 use crate::load::driver::TargetSelector;
 use crate::load::schedule::Arrival;
@@ -103,14 +103,14 @@
     for zone in &spec.zones {
         let forwarders = reserve(spec.nodes_per_zone)?;
         for own in 0..forwarders.len() {
-            let table = Table {
+            let config = ForwarderConfig {
                 own,
                 zone: zone.clone(),
                 forwarders: forwarders.clone(),
                 instances: addresses.instances.clone(),
             };
             let file = out.join(format!("forwarder-{zone}-{own}.json"));
-            let text = serde_json::to_string(&table).unwrap_or_default();
+            let text = serde_json::to_string(&config).unwrap_or_default();
             std::fs::write(&file, text).map_err(|error| BenchError::File(error.to_string()))?;
             let file = file.display().to_string();
             helpers.push(Helper::start(&["forwarder", "--table", &file], Stdio::null())?);
--- a/crates/bench/src/forwarder.rs
+++ b/crates/bench/src/forwarder.rs
@@ -1,5 +1,5 @@
-//! Bare hyper forwarders: as many hops as through nodes, no decisions. The floor for
-//! latency and processor time on the machine at hand.
+//! Plain hyper forwarders: as many hops as with nodes, but no admission control. They give the
+//! lower bound of latency and processor time on the machine that runs the experiment.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -24,40 +24,42 @@
 use crate::back_ends::wait_for_stdin_eof;
 use crate::error::BenchError;
 
-/// Header by which one forwarder tells the next which instance was chosen.
-const CHOSEN: &str = "x-bench-instance";
+/// Header that tells the second forwarder which instance the first one chose.
+const INSTANCE_INDEX_HEADER: &str = "x-bench-instance";
 
-/// What a forwarder knows.
+/// Configuration file of a forwarder.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Table {
+pub struct ForwarderConfig {
+    /// Index of this forwarder in `forwarders`.
     pub own: usize,
     pub zone: String,
     /// Addresses of the forwarders of this zone.
     pub forwarders: Vec<SocketAddr>,
-    /// Instances: name, service, zone, address.
+    /// Name, service, zone and address of each instance.
     pub instances: Vec<(String, String, String, SocketAddr)>,
 }
 
 type Body = Either<Incoming, Empty<Bytes>>;
 
 struct Forwarder {
-    table: Table,
-    turn: AtomicUsize,
+    config: ForwarderConfig,
+    next_index: AtomicUsize,
     idle: Mutex<HashMap<SocketAddr, Vec<SendRequest<Incoming>>>>,
 }
 
-/// Runs a forwarder until its input ends.
-pub fn run(table_file: &Path) -> Result<(), BenchError> {
-    let text = std::fs::read_to_string(table_file).map_err(|error| BenchError::File(error.to_string()))?;
-    let table: Table = serde_json::from_str(&text).map_err(|error| BenchError::File(error.to_string()))?;
+/// Runs a forwarder until its standard input is closed.
+pub fn run(config_file: &Path) -> Result<(), BenchError> {
+    let text = std::fs::read_to_string(config_file).map_err(|error| BenchError::File(error.to_string()))?;
+    let config: ForwarderConfig =
+        serde_json::from_str(&text).map_err(|error| BenchError::File(error.to_string()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|error| BenchError::Process(error.to_string()))?.block_on(serve(table))
+    runtime.map_err(|error| BenchError::Process(error.to_string()))?.block_on(serve(config))
 }
 
-async fn serve(table: Table) -> Result<(), BenchError> {
-    let listener = TcpListener::bind(table.forwarders[table.own]).await;
+async fn serve(config: ForwarderConfig) -> Result<(), BenchError> {
+    let listener = TcpListener::bind(config.forwarders[config.own]).await;
     let listener = listener.map_err(|error| BenchError::Process(error.to_string()))?;
-    let forwarder = Arc::new(Forwarder { table, turn: AtomicUsize::new(0), idle: Mutex::default() });
+    let forwarder = Arc::new(Forwarder { config, next_index: AtomicUsize::new(0), idle: Mutex::default() });
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let forwarder = forwarder.clone();
@@ -77,16 +79,19 @@
 
 impl Forwarder {
     async fn forward(&self, mut request: Request<Incoming>) -> Response<Body> {
-        let chosen =
-            request.headers().get(CHOSEN).and_then(|value| value.to_str().ok()).and_then(|t| t.parse().ok());
-        let index = chosen.unwrap_or_else(|| self.choose(request.uri().path()));
-        let target = if chosen.is_some() || index % self.table.forwarders.len() == self.table.own {
-            let own = self.table.forwarders[self.table.own].to_string();
-            insert(&mut request, header::DISPATCHED_BY, &own);
-            self.table.instances[index].3
+        let received_index = request
+            .headers()
+            .get(INSTANCE_INDEX_HEADER)
+            .and_then(|value| value.to_str().ok())
+            .and_then(|text| text.parse().ok());
+        let index = received_index.unwrap_or_else(|| self.choose_instance(request.uri().path()));
+        let target = if received_index.is_some() || index % self.config.forwarders.len() == self.config.own {
+            let own = self.config.forwarders[self.config.own].to_string();
+            set_header(&mut request, header::DISPATCHED_BY, &own);
+            self.config.instances[index].3
         } else {
-            insert(&mut request, CHOSEN, &index.to_string());
-            self.table.forwarders[index % self.table.forwarders.len()]
+            set_header(&mut request, INSTANCE_INDEX_HEADER, &index.to_string());
+            self.config.forwarders[index % self.config.forwarders.len()]
         };
         match self.send(target, request).await {
             Some(response) => response.map(Either::Left),
@@ -98,19 +103,23 @@
         }
     }
 
-    /// The next instance of the path's service in this zone, else anywhere.
-    fn choose(&self, path: &str) -> usize {
+    /// Chooses an instance of the path's service in round-robin order: one of this zone if it has
+    /// any, else one of any zone.
+    fn choose_instance(&self, path: &str) -> usize {
         let service = path.split('/').nth(1).unwrap_or_default();
-        let of_service = |index: &usize| self.table.instances[*index].1 == service;
-        let all: Vec<usize> = (0..self.table.instances.len()).filter(of_service).collect();
-        let near: Vec<usize> =
-            all.iter().copied().filter(|index| self.table.instances[*index].2 == self.table.zone).collect();
-        let pool = if near.is_empty() { all } else { near };
-        pool.get(self.turn.fetch_add(1, Ordering::Relaxed) % pool.len().max(1)).copied().unwrap_or(0)
+        let of_service = |index: &usize| self.config.instances[*index].1 == service;
+        let all: Vec<usize> = (0..self.config.instances.len()).filter(of_service).collect();
+        let same_zone: Vec<usize> =
+            all.iter().copied().filter(|index| self.config.instances[*index].2 == self.config.zone).collect();
+        let candidates = if same_zone.is_empty() { all } else { same_zone };
+        candidates
+            .get(self.next_index.fetch_add(1, Ordering::Relaxed) % candidates.len().max(1))
+            .copied()
+            .unwrap_or(0)
     }
 
     async fn send(&self, target: SocketAddr, request: Request<Incoming>) -> Option<Response<Incoming>> {
-        let mut connection = match self.take(target) {
+        let mut connection = match self.take_idle(target) {
             Some(connection) => connection,
             None => connect(target).await?,
         };
@@ -120,7 +129,7 @@
         response
     }
 
-    fn take(&self, target: SocketAddr) -> Option<SendRequest<Incoming>> {
+    fn take_idle(&self, target: SocketAddr) -> Option<SendRequest<Incoming>> {
         let mut idle = self.idle.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let connections = idle.get_mut(&target)?;
         connections.retain(|connection| !connection.is_closed());
@@ -137,7 +146,7 @@
     Some(sender)
 }
 
-fn insert(request: &mut Request<Incoming>, name: &'static str, value: &str) {
+fn set_header(request: &mut Request<Incoming>, name: &'static str, value: &str) {
     if let Ok(value) = hyper::header::HeaderValue::from_str(value) {
         request.headers_mut().insert(name, value);
     }
--- a/crates/bench/src/history.rs
+++ b/crates/bench/src/history.rs
@@ -1,90 +1,90 @@
-//! What an experiment recorded.
+//! Recorded history of an experiment.
 
 use serde::{Deserialize, Serialize};
 
-/// How a client saw its call end.
+/// Result of a call as seen by the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallEnd {
-    /// A whole answer arrived.
+    /// A complete response was received.
     Answered,
-    /// A whole answer arrived that belongs to another request or has the wrong length.
+    /// A complete response was received that belongs to another request or has the wrong length.
     WrongAnswer,
-    /// The connection broke before a whole answer.
+    /// The connection failed before the response was complete.
     Broken,
-    /// The client gave up waiting.
+    /// There was no complete response within the client's timeout.
     TimedOut,
-    /// No connection could be made.
+    /// No connection could be established.
     NotConnected,
 }
 
 /// One call of a client.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ClientCall {
-    /// Unique text sent with the call.
+    /// Unique token sent with the call.
     pub token: String,
-    /// Number of the logical request; its retries share it.
+    /// Number of the logical request, shared by all its attempts.
     pub logical: u64,
-    /// Number of the client's attempt, from 0.
+    /// Number of the client's attempt, starting at 0.
     pub attempt: u32,
     /// Method and path.
     pub call: String,
     /// Importance of the call.
     pub importance: u8,
-    /// Group.
+    /// Group of callers that the client belongs to.
     pub group: String,
     /// Idempotency key, if one was sent.
     pub key: Option<String>,
     /// Node or back end that was called.
     pub target: String,
-    /// Start and end, Unix time in microseconds.
+    /// Start, Unix time in microseconds.
     pub start_us: u64,
-    /// End.
+    /// End, Unix time in microseconds.
     pub end_us: u64,
-    /// How it ended.
+    /// Result.
     pub end: CallEnd,
-    /// HTTP status, 0 without an answer.
+    /// HTTP status; 0 without a response.
     pub status: u16,
-    /// Outcome header.
+    /// Value of the outcome header.
     pub outcome: String,
-    /// Request id header.
+    /// Value of the request id header.
     pub request: String,
-    /// True when the answer said when to come back.
+    /// True if the response had a `Retry-After` header.
     pub retry_after: bool,
-    /// Time inside olivegate, all hops, in microseconds.
+    /// Processing time inside olivegate over all hops, in microseconds.
     pub own_us: u64,
-    /// Time that back ends worked for the call, in microseconds.
+    /// Processing time of the back ends for the call, in microseconds.
     pub work_us: u64,
 }
 
-/// One execution at a back end.
+/// One execution of a call by a back end.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Execution {
-    /// Token of the root call, followed by `/` and a number for each call on behalf.
+    /// Token of the root call, followed by `/` and a number for each level of downstream calls.
     pub token: String,
-    /// Root request as named by the nodes; empty in arms without nodes.
+    /// Id that the nodes gave the root request; empty in arms without nodes.
     pub request: String,
     /// Method and path.
     pub call: String,
-    /// Instance.
+    /// Name of the instance.
     pub instance: String,
     /// Idempotency key that reached the back end.
     pub key: Option<String>,
-    /// Attempt within the hop, as said by the node.
+    /// Number of the attempt within the hop, as sent by the node; 0 without a node.
     pub attempt: u32,
     /// Start, Unix time in microseconds.
     pub start_us: u64,
     /// End, Unix time in microseconds; 0 while running.
     pub end_us: u64,
-    /// True when it ran to its end and answered well.
+    /// True if it ran to its end and a complete response was produced.
     pub completed: bool,
 }
 
-/// Something that the experiment did.
+/// A fault or an operation that the experiment applied.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Event {
-    /// When, Unix time in microseconds.
+    /// Unix time in microseconds.
     pub at_us: u64,
-    /// What.
+    /// Kind of the event.
     pub what: EventKind,
 }
 
@@ -93,60 +93,61 @@
 pub enum EventKind {
     /// A node was killed.
     Kill(String),
-    /// A node was stopped in the planned way.
+    /// A node was asked to stop gracefully.
     PlannedStop(String),
-    /// A planned stop ended with calls cut off, as the node itself says.
+    /// A graceful stop cut off calls, as reported by the node's exit status, or ran into its timeout.
     StopCutOff(String),
     /// A node was started.
     Start(String),
-    /// A node was frozen for some milliseconds.
+    /// A node's process was suspended for some milliseconds.
     Freeze(String, u64),
-    /// The links from and to a zone were cut.
+    /// The links from and to a zone were cut (network partition).
     Cut(String),
     /// Only the links from a zone to others were cut.
     CutOneWay(String),
-    /// All links are whole again.
+    /// All links work again.
     Heal,
     /// An instance announced that it is leaving.
     Leaving(String),
-    /// A leaving instance is live again.
+    /// A leaving instance returned to service.
     Back(String),
-    /// A service became slower by a factor.
+    /// The service times of a service were multiplied by a factor.
     Slow(String, f64),
-    /// The configuration service went away or came back.
+    /// The configuration service became available (true) or unavailable (false).
     Configuration(bool),
-    /// A bundle version was published.
+    /// A bundle with this version and digest was published.
     Publish(u64, String),
-    /// The trigger of an overload ended.
+    /// The cause of an overload ended.
     TriggerEnd,
 }
 
-/// The bundle version that a node showed.
+/// Bundle version in force on a node at one time.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct VersionSample {
-    /// When, Unix time in microseconds.
+    /// Unix time in microseconds.
     pub at_us: u64,
-    /// Node, with the number of its life: `name#life`.
+    /// Node and how many times it has been started: `name#starts`.
     pub node: String,
-    /// Version; 0 when none is in force.
+    /// Version; 0 if none is in force.
     pub version: u64,
-    /// Digest.
+    /// Digest of the bundle.
     pub digest: String,
 }
 
-/// Everything that one arm recorded.
+/// Everything recorded in one arm.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct History {
-    /// Calls of clients.
+    /// Calls made by the clients.
     pub calls: Vec<ClientCall>,
     /// Executions at back ends.
     pub executions: Vec<Execution>,
-    /// What was done.
+    /// Faults and operations applied.
     pub events: Vec<Event>,
-    /// Versions seen.
+    /// Samples of the bundle versions in force.
     pub versions: Vec<VersionSample>,
-    /// Retries allowed per root request.
+    /// Largest number of retries allowed per root request.
     pub retry_bound: u32,
-    /// True when nodes took part, so that their promises are judged.
+    /// True if nodes took part. Otherwise the checker only checks that responses are complete and
+    /// belong to their call.
     pub judged: bool,
 }
--- a/crates/bench/src/wall_clock.rs
+++ b/crates/bench/src/wall_clock.rs
@@ -1,4 +1,4 @@
-//! One clock for all processes of an experiment.
+//! Wall clock, which all processes of an experiment share.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
