--- a/crates/bench/src/arms.rs
+++ b/crates/bench/src/arms.rs
@@ -1,4 +1,4 @@
-//! What is compared: olivegate, direct calls without control, bare forwarders.
+//! Arms of an experiment: olivegate, direct calls without admission control, and plain forwarders.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
@@ -9,7 +9,7 @@
 
 use crate::back_ends::BackEndAddresses;
 use crate::error::BenchError;
-use crate::experiment::{Helper, helpers_seconds};
+use crate::experiment::{HelperProcess, total_processor_seconds};
 use crate::fleet::Fleet;
 use crate::forwarder::ForwarderConfig;
 use crate::links::Links;
@@ -20,11 +20,12 @@
 /// An arm of an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arm {
-    /// Nodes.
+    /// Clients call olivegate nodes.
     Olivegate,
-    /// Round robin, naive retry at each hop, no control.
+    /// Calls go directly to the instances: round robin, immediate retries at each hop, no admission
+    /// control.
     Direct,
-    /// Bare hyper forwarders over as many hops.
+    /// Plain hyper forwarders over as many hops as with nodes.
     PassThrough,
 }
 
@@ -32,7 +33,7 @@
     /// All arms.
     pub const ALL: [Arm; 3] = [Arm::Olivegate, Arm::Direct, Arm::PassThrough];
 
-    /// Name in tables and files.
+    /// Name of the arm in tables, file names and options.
     pub fn name(self) -> &'static str {
         match self {
             Arm::Olivegate => "olivegate",
@@ -41,67 +42,67 @@
         }
     }
 
-    /// The arm of this name.
-    pub fn named(name: &str) -> Option<Self> {
+    /// Returns the arm with this name.
+    pub fn by_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|arm| arm.name() == name)
     }
 }
 
 /// A running system under test.
-pub struct System {
+pub struct SystemUnderTest {
     pub targets: TargetSelector,
     pub fleet: Option<Fleet>,
     pub links: Option<Links>,
-    helpers: Vec<Helper>,
+    helpers: Vec<HelperProcess>,
 }
 
-impl System {
-    /// Processor time of the system's processes so far, in seconds.
+impl SystemUnderTest {
+    /// Processor time that the nodes or forwarders have used so far, in seconds.
     pub fn processor_seconds(&self) -> f64 {
-        self.fleet.as_ref().map_or(0.0, Fleet::processor_seconds) + helpers_seconds(&self.helpers)
+        self.fleet.as_ref().map_or(0.0, Fleet::processor_seconds) + total_processor_seconds(&self.helpers)
     }
 }
 
-/// Clients call nodes.
-pub fn olivegate(fleet: Fleet, links: Links) -> System {
+/// Sets up clients that call nodes.
+pub fn through_nodes(fleet: Fleet, links: Links) -> SystemUnderTest {
     let nodes: Vec<(String, SocketAddr)> =
-        fleet.places.iter().map(|place| (place.name.clone(), place.caller)).collect();
-    let targets = in_turn(nodes);
-    System { targets, fleet: Some(fleet), links: Some(links), helpers: Vec::new() }
+        fleet.nodes.iter().map(|node| (node.name.clone(), node.caller)).collect();
+    let targets = rotate_per_attempt(nodes);
+    SystemUnderTest { targets, fleet: Some(fleet), links: Some(links), helpers: Vec::new() }
 }
 
-/// A different target for each attempt of a request.
-fn in_turn(nodes: Vec<(String, SocketAddr)>) -> TargetSelector {
+/// Selects a different target for each attempt of a request.
+fn rotate_per_attempt(nodes: Vec<(String, SocketAddr)>) -> TargetSelector {
     Arc::new(move |arrival: &Arrival, attempt: u32| {
         let index = arrival.target_choice.wrapping_add(u64::from(attempt)) % nodes.len().max(1) as u64;
         nodes.get(index as usize).cloned()
     })
 }
 
-/// Clients call instances in turn.
-pub fn direct(addresses: &BackEndAddresses) -> System {
+/// Sets up clients that call the instances of a service in round-robin order.
+pub fn direct(addresses: &BackEndAddresses) -> SystemUnderTest {
     let mut by_service: HashMap<String, (Vec<(String, SocketAddr)>, AtomicUsize)> = HashMap::new();
     for (name, service, _, address) in &addresses.instances {
         by_service.entry(service.clone()).or_default().0.push((name.clone(), *address));
     }
     let targets: TargetSelector = Arc::new(move |arrival: &Arrival, _| {
         let service = arrival.call.split('/').nth(1).unwrap_or_default();
-        let (instances, turn) = by_service.get(service)?;
-        instances.get(turn.fetch_add(1, Ordering::Relaxed) % instances.len()).cloned()
+        let (instances, next_index) = by_service.get(service)?;
+        instances.get(next_index.fetch_add(1, Ordering::Relaxed) % instances.len()).cloned()
     });
-    System { targets, fleet: None, links: None, helpers: Vec::new() }
+    SystemUnderTest { targets, fleet: None, links: None, helpers: Vec::new() }
 }
 
-/// Clients call forwarders.
+/// Starts the forwarders and sets up clients that call them.
 pub fn pass_through(
     spec: &DeploymentSpec,
     addresses: &BackEndAddresses,
     out: &Path,
-) -> Result<System, BenchError> {
+) -> Result<SystemUnderTest, BenchError> {
     let mut helpers = Vec::new();
-    let mut all = Vec::new();
+    let mut targets = Vec::new();
     for zone in &spec.zones {
-        let forwarders = reserve(spec.nodes_per_zone)?;
+        let forwarders = reserve_ports(spec.nodes_per_zone)?;
         for own in 0..forwarders.len() {
             let config = ForwarderConfig {
                 own,
@@ -113,18 +114,18 @@
             let text = serde_json::to_string(&config).unwrap_or_default();
             std::fs::write(&file, text).map_err(|error| BenchError::File(error.to_string()))?;
             let file = file.display().to_string();
-            helpers.push(Helper::start(&["forwarder", "--table", &file], Stdio::null())?);
-            all.push((format!("{zone}-{own}"), forwarders[own]));
+            helpers.push(HelperProcess::start(&["forwarder", "--table", &file], Stdio::null())?);
+            targets.push((format!("{zone}-{own}"), forwarders[own]));
         }
     }
-    wait_until_listening(&all);
-    Ok(System { targets: in_turn(all), fleet: None, links: None, helpers })
+    wait_until_listening(&targets);
+    Ok(SystemUnderTest { targets: rotate_per_attempt(targets), fleet: None, links: None, helpers })
 }
 
-fn reserve(count: usize) -> Result<Vec<SocketAddr>, BenchError> {
-    let fail = |error: std::io::Error| BenchError::Process(error.to_string());
+fn reserve_ports(count: usize) -> Result<Vec<SocketAddr>, BenchError> {
+    let process_error = |error: std::io::Error| BenchError::Process(error.to_string());
     let listeners: Result<Vec<TcpListener>, _> = (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect();
-    listeners.map_err(fail)?.iter().map(|listener| listener.local_addr().map_err(fail)).collect()
+    listeners.map_err(process_error)?.iter().map(|listener| listener.local_addr().map_err(process_error)).collect()
 }
 
 fn wait_until_listening(addresses: &[(String, SocketAddr)]) {
--- a/crates/bench/src/back_ends/mod.rs
+++ b/crates/bench/src/back_ends/mod.rs
@@ -53,9 +53,9 @@
 }
 
 async fn bind() -> Result<(TcpListener, SocketAddr), BenchError> {
-    let fail = |error: std::io::Error| BenchError::Process(error.to_string());
-    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(fail)?;
-    let address = listener.local_addr().map_err(fail)?;
+    let process_error = |error: std::io::Error| BenchError::Process(error.to_string());
+    let listener = TcpListener::bind("127.0.0.1:0").await.map_err(process_error)?;
+    let address = listener.local_addr().map_err(process_error)?;
     Ok((listener, address))
 }
 
--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,49 +1,50 @@
-//! What a deployment's slots can serve.
+//! Capacity of a deployment, computed from its concurrency slots and service times.
 
 use std::collections::HashMap;
 
 use crate::spec::DeploymentSpec;
 
-/// Time added to each service time by the emulator's timers and connections, in
-/// milliseconds; an estimate from unloaded calls, part of what load "0.8" means.
+/// Time that the emulator's timers and connections add to each service time, in milliseconds.
+/// An estimate from calls without load. The capacity, and so what a load of 0.8 means, depends
+/// on it.
 const HOP_OVERHEAD_MS: f64 = 1.2;
 
-/// Slot time in milliseconds that one request of a call uses, by service. A slot is
-/// held during the calls made on behalf.
+/// Slot time in milliseconds that one request of a call uses at each service. A slot stays
+/// occupied during the downstream calls.
 fn slot_times(spec: &DeploymentSpec, call: &str) -> HashMap<String, f64> {
-    let mut used = HashMap::new();
-    hold_time(spec, call, &mut used);
-    used
+    let mut slot_ms_by_service = HashMap::new();
+    add_slot_times(spec, call, &mut slot_ms_by_service);
+    slot_ms_by_service
 }
 
-fn hold_time(spec: &DeploymentSpec, call: &str, used: &mut HashMap<String, f64>) -> f64 {
+fn add_slot_times(spec: &DeploymentSpec, call: &str, slot_ms_by_service: &mut HashMap<String, f64>) -> f64 {
     let Some(endpoint) = spec.endpoint(call) else {
         return 0.0;
     };
-    let mut hold = endpoint.service_ms as f64 + HOP_OVERHEAD_MS;
-    for onward in &endpoint.calls {
-        hold += hold_time(spec, onward, used);
+    let mut slot_ms = endpoint.service_ms as f64 + HOP_OVERHEAD_MS;
+    for downstream in &endpoint.calls {
+        slot_ms += add_slot_times(spec, downstream, slot_ms_by_service);
     }
-    *used.entry(endpoint.service.clone()).or_default() += hold;
-    hold
+    *slot_ms_by_service.entry(endpoint.service.clone()).or_default() += slot_ms;
+    slot_ms
 }
 
-fn slots(spec: &DeploymentSpec) -> HashMap<String, f64> {
-    let slots = |service: &crate::spec::ServiceSpec| f64::from(service.slots) * service.instances as f64;
-    spec.services.iter().map(|service| (service.name.clone(), slots(service))).collect()
+fn slots_by_service(spec: &DeploymentSpec) -> HashMap<String, f64> {
+    let total_slots = |service: &crate::spec::ServiceSpec| f64::from(service.slots) * service.instances as f64;
+    spec.services.iter().map(|service| (service.name.clone(), total_slots(service))).collect()
 }
 
-/// Requests per second of the traffic mix that the slots serve at full use.
+/// Requests per second of the traffic mix at which the slots of one service are fully used.
 pub fn mix_capacity(spec: &DeploymentSpec) -> f64 {
     let total: f64 = spec.traffic.iter().map(|traffic| traffic.share).sum();
     let mut per_request: HashMap<String, f64> = HashMap::new();
     for traffic in &spec.traffic {
-        for (service, time) in slot_times(spec, &traffic.call) {
-            *per_request.entry(service).or_default() += time * traffic.share / total;
+        for (service, slot_ms) in slot_times(spec, &traffic.call) {
+            *per_request.entry(service).or_default() += slot_ms * traffic.share / total;
         }
     }
-    let rates = slots(spec)
+    let rates = slots_by_service(spec)
         .into_iter()
-        .filter_map(|(service, slots)| per_request.get(&service).map(|time| slots * 1_000.0 / time));
+        .filter_map(|(service, slots)| per_request.get(&service).map(|slot_ms| slots * 1_000.0 / slot_ms));
     rates.fold(f64::INFINITY, f64::min)
 }
--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -121,7 +121,7 @@
     let Some(names) = names else {
         return Ok(if with_baselines { Arm::ALL.to_vec() } else { vec![Arm::Olivegate] });
     };
-    let arm = |name| Arm::named(name).ok_or_else(|| BenchError::Usage(format!("unknown arm '{name}'")));
+    let arm = |name| Arm::by_name(name).ok_or_else(|| BenchError::Usage(format!("unknown arm '{name}'")));
     names.split(',').map(arm).collect()
 }
 
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Node processes: start, kill, freeze, stop, replace.
+//! Node processes of an experiment: start, stop, kill and signal them, and read their status.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -18,26 +18,26 @@
 use crate::spec::DeploymentSpec;
 use crate::wall_clock::unix_us;
 
-/// Longest time for all nodes to become ready.
+/// Timeout for all nodes to become ready, and then for the fleet to converge.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Secrets of the two operators whose signatures a bundle needs.
+/// Secret keys of the two operators whose signatures a bundle needs.
 const OPERATOR_SECRETS: [[u8; 32]; 2] = [[11; 32], [22; 32]];
 /// Seats of the claim group.
 const SEATS: usize = 3;
-/// Range of the nodes' ports.
+/// Lowest and highest port for the nodes.
 const FIRST_PORT: u16 = 12_000;
 const LAST_PORT: u16 = 32_000;
-/// Clock ticks of `/proc` per second.
+/// Clock ticks per second in which `/proc` counts processor time.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The operators' keys.
+/// Signing keys of the operators.
 pub fn operator_keys() -> Vec<SigningKeyPair> {
     OPERATOR_SECRETS.into_iter().map(SigningKeyPair::from_secret).collect()
 }
 
 /// One node of the fleet.
 #[derive(Debug, Clone)]
-pub struct NodePlace {
+pub struct FleetNode {
     pub name: String,
     pub zone: String,
     pub caller: SocketAddr,
@@ -47,22 +47,22 @@
     settings: PathBuf,
 }
 
-struct Running {
+struct RunningNode {
     child: Child,
-    life: u32,
+    start_count: u32,
 }
 
-/// All nodes of a deployment.
+/// All nodes of a deployment, and their processes.
 pub struct Fleet {
-    pub places: Vec<NodePlace>,
-    running: Mutex<BTreeMap<String, Running>>,
-    lives: Mutex<HashMap<String, u32>>,
+    pub nodes: Vec<FleetNode>,
+    running: Mutex<BTreeMap<String, RunningNode>>,
+    start_counts: Mutex<HashMap<String, u32>>,
     program: PathBuf,
-    logs: PathBuf,
+    log_directory: PathBuf,
 }
 
-/// Free ports below those that the kernel hands out for outgoing connections, so that
-/// a node that is started again finds its ports free.
+/// Finds free ports below the kernel's range for outgoing connections, so that no connection takes
+/// the port of a node that is being restarted.
 fn reserve_ports(count: usize) -> Result<Vec<SocketAddr>, BenchError> {
     let first = FIRST_PORT + (std::process::id() % 100) as u16 * 150;
     let candidates = (first..LAST_PORT).map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
@@ -75,8 +75,8 @@
 }
 
 impl Fleet {
-    /// Places of all nodes, with settings files in `directory`.
-    pub fn plan(
+    /// Assigns ports to all nodes and writes their settings files into `directory`.
+    pub fn prepare(
         spec: &DeploymentSpec,
         platform: SocketAddr,
         links: &Links,
@@ -85,12 +85,12 @@
         std::fs::create_dir_all(directory).map_err(|error| BenchError::File(error.to_string()))?;
         let count = spec.zones.len() * spec.nodes_per_zone;
         let ports = reserve_ports(count * 4)?;
-        let mut places = Vec::new();
+        let mut nodes = Vec::new();
         for index in 0..count {
             let zone = &spec.zones[index % spec.zones.len()];
             let name = format!("{zone}-{}", index / spec.zones.len());
             let ports = &ports[index * 4..index * 4 + 4];
-            places.push(NodePlace {
+            nodes.push(FleetNode {
                 settings: directory.join(format!("{name}.toml")),
                 name,
                 zone: zone.clone(),
@@ -100,56 +100,58 @@
                 admin: ports[3],
             });
         }
-        for place in &places {
-            let text = settings_text(spec, place, &places, platform, links)?;
-            std::fs::write(&place.settings, text).map_err(|error| BenchError::File(error.to_string()))?;
+        for node in &nodes {
+            let text = settings_text(spec, node, &nodes, platform, links)?;
+            std::fs::write(&node.settings, text).map_err(|error| BenchError::File(error.to_string()))?;
         }
         let program = std::env::current_exe().map_err(|error| BenchError::Process(error.to_string()))?;
-        let (running, lives) = (Mutex::default(), Mutex::default());
-        Ok(Fleet { places, running, lives, program, logs: directory.to_path_buf() })
+        let (running, start_counts) = (Mutex::default(), Mutex::default());
+        Ok(Fleet { nodes, running, start_counts, program, log_directory: directory.to_path_buf() })
     }
 
-    /// Starts a node; `new_deployment` only for the very first start.
+    /// Starts a node. `new_deployment` is only for the first start of the deployment.
     pub fn start(&self, name: &str, new_deployment: bool) -> Result<(), BenchError> {
-        let place = self.place(name)?;
-        let fail = |error: std::io::Error| BenchError::Process(error.to_string());
-        let log =
-            std::fs::OpenOptions::new().create(true).append(true).open(self.logs.join(format!("{name}.log")));
+        let node = self.node(name)?;
+        let process_error = |error: std::io::Error| BenchError::Process(error.to_string());
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.log_directory.join(format!("{name}.log")));
         let mut command = Command::new(&self.program);
-        command.arg("node").arg("--settings").arg(&place.settings);
+        command.arg("node").arg("--settings").arg(&node.settings);
         if new_deployment {
             command.arg("--new-deployment");
         }
-        let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log.map_err(fail)?).spawn();
-        let mut lives = self.lives.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let life = lives.entry(name.to_string()).or_default();
-        *life += 1;
-        let running = Running { child: child.map_err(fail)?, life: *life };
+        let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log.map_err(process_error)?).spawn();
+        let mut start_counts = self.start_counts.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let start_count = start_counts.entry(name.to_string()).or_default();
+        *start_count += 1;
+        let running = RunningNode { child: child.map_err(process_error)?, start_count: *start_count };
         self.running().insert(name.to_string(), running);
         Ok(())
     }
 
-    fn running(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, Running>> {
+    fn running(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, RunningNode>> {
         self.running.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// The place of a node.
-    pub fn place(&self, name: &str) -> Result<&NodePlace, BenchError> {
-        let place = self.places.iter().find(|place| place.name == name);
-        place.ok_or_else(|| BenchError::Process(format!("no node {name}")))
+    /// Returns a node by name.
+    pub fn node(&self, name: &str) -> Result<&FleetNode, BenchError> {
+        let node = self.nodes.iter().find(|node| node.name == name);
+        node.ok_or_else(|| BenchError::Process(format!("unknown node {name}")))
     }
 
-    /// Control addresses by name.
-    pub fn controls(&self) -> HashMap<String, SocketAddr> {
-        self.places.iter().map(|place| (place.name.clone(), place.control)).collect()
+    /// Control addresses by node name.
+    pub fn control_addresses(&self) -> HashMap<String, SocketAddr> {
+        self.nodes.iter().map(|node| (node.name.clone(), node.control)).collect()
     }
 
-    /// Names of the nodes whose process runs.
+    /// Names of the nodes whose process is running.
     pub fn running_names(&self) -> Vec<String> {
         self.running().keys().cloned().collect()
     }
 
-    /// Sends a signal to a node that this fleet started.
+    /// Sends a signal to the process of a running node.
     pub fn signal(&self, name: &str, signal: Signal) {
         let id = self.running().get(name).map(|running| running.child.id());
         if let Some(pid) = id.and_then(|id| Pid::from_raw(id as i32)) {
@@ -166,7 +168,8 @@
         }
     }
 
-    /// Stops a node in the planned way; true when it said that no call was cut off.
+    /// Stops a node gracefully. Returns true if its exit status says that no call was cut off; a
+    /// node that does not end in 15 seconds is killed.
     pub async fn stop(&self, name: &str) -> bool {
         self.signal(name, Signal::TERM);
         let removed = self.running().remove(name);
@@ -187,14 +190,14 @@
         }
     }
 
-    /// Waits until these nodes say that they are ready.
-    pub async fn wait_ready(&self, names: &[String]) -> Result<(), BenchError> {
+    /// Waits until the readiness checks of these nodes succeed.
+    pub async fn wait_until_ready(&self, names: &[String]) -> Result<(), BenchError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for name in names {
-            let admin = self.place(name)?.admin;
+            let admin = self.node(name)?.admin;
             while !is_ready(admin).await {
                 if Instant::now() > deadline {
-                    return Err(BenchError::Process(format!("node {name} did not become ready")));
+                    return Err(BenchError::Process(format!("node {name} did not become ready in time")));
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -202,44 +205,46 @@
         Ok(())
     }
 
-    /// Waits until every running node counts all seats as voting somewhere and sees all members.
-    pub async fn wait_settled(&self) -> Result<(), BenchError> {
+    /// Waits until all seats of the claim group are voting and every node sees all members alive.
+    pub async fn wait_until_converged(&self) -> Result<(), BenchError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             let mut voting = 0;
             let mut complete = true;
-            for place in &self.places {
-                let status = self.status(place).await.unwrap_or_default();
+            for node in &self.nodes {
+                let status = self.status(node).await.unwrap_or_default();
                 let seats = status["seats"].as_array().cloned().unwrap_or_default();
                 voting += seats.iter().filter(|seat| seat["mode"] == "voting").count();
                 let members = status["members"].as_array().cloned().unwrap_or_default();
                 let alive = members.iter().filter(|member| member["state"] == "alive").count();
-                complete &= alive == self.places.len();
+                complete &= alive == self.nodes.len();
             }
             if voting == SEATS && complete {
                 return Ok(());
             }
             if Instant::now() > deadline {
-                return Err(BenchError::Process(format!("fleet did not settle: {voting} seats vote")));
+                return Err(BenchError::Process(format!(
+                    "fleet did not converge in time: {voting} of {SEATS} seats are voting"
+                )));
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// A node's status.
-    pub async fn status(&self, place: &NodePlace) -> Option<Value> {
-        let fetched = fetch::get(place.admin, "/status", 64 << 20, Duration::from_millis(500)).await.ok()?;
+    /// Fetches a node's status; `None` if it does not respond.
+    pub async fn status(&self, node: &FleetNode) -> Option<Value> {
+        let fetched = fetch::get(node.admin, "/status", 64 << 20, Duration::from_millis(500)).await.ok()?;
         serde_json::from_slice(&fetched.body).ok()
     }
 
-    /// Writes each running node's metrics and status beside its settings.
+    /// Writes each node's metrics and status next to its settings file, if the node responds.
     pub async fn save_metrics(&self) {
-        for place in &self.places {
+        for node in &self.nodes {
             for page in ["metrics", "status"] {
                 let path = format!("/{page}");
-                let fetched = fetch::get(place.admin, &path, 64 << 20, Duration::from_millis(500)).await;
+                let fetched = fetch::get(node.admin, &path, 64 << 20, Duration::from_millis(500)).await;
                 if let Ok(fetched) = fetched {
-                    let file = self.logs.join(format!("{}.{page}", place.name));
+                    let file = self.log_directory.join(format!("{}.{page}", node.name));
                     if let Err(error) = std::fs::write(&file, &fetched.body) {
                         log::warn!("event=page_not_saved file={} error={error}", file.display());
                     }
@@ -248,18 +253,18 @@
         }
     }
 
-    /// The bundle versions in force now.
+    /// Samples the bundle version in force on each running node.
     pub async fn versions(&self) -> Vec<VersionSample> {
         let mut samples = Vec::new();
-        for place in &self.places {
-            let life = self.running().get(&place.name).map(|running| running.life);
-            let Some(life) = life else {
+        for node in &self.nodes {
+            let start_count = self.running().get(&node.name).map(|running| running.start_count);
+            let Some(start_count) = start_count else {
                 continue;
             };
-            if let Some(status) = self.status(place).await {
+            if let Some(status) = self.status(node).await {
                 samples.push(VersionSample {
                     at_us: unix_us(),
-                    node: format!("{}#{life}", place.name),
+                    node: format!("{}#{start_count}", node.name),
                     version: status["bundle"]["version"].as_u64().unwrap_or(0),
                     digest: status["bundle"]["digest"].as_str().unwrap_or_default().to_string(),
                 });
@@ -268,14 +273,14 @@
         samples
     }
 
-    /// Processor time used by the running nodes, in seconds.
+    /// Processor time that the running nodes have used, in seconds.
     pub fn processor_seconds(&self) -> f64 {
         let ids: Vec<u32> = self.running().values().map(|running| running.child.id()).collect();
         ids.into_iter().map(processor_seconds).sum()
     }
 
-    /// Ends all nodes.
-    pub fn end(&self) {
+    /// Kills all nodes.
+    pub fn kill_all(&self) {
         for name in self.running_names() {
             self.kill(&name);
         }
@@ -284,11 +289,11 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.end();
+        self.kill_all();
     }
 }
 
-/// Processor time of a process, in seconds.
+/// Processor time that a process has used, in seconds.
 pub fn processor_seconds(id: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(") ").next().unwrap_or_default().split(' ').collect();
@@ -303,8 +308,8 @@
 
 fn settings_text(
     spec: &DeploymentSpec,
-    place: &NodePlace,
-    places: &[NodePlace],
+    node: &FleetNode,
+    nodes: &[FleetNode],
     platform: SocketAddr,
     links: &Links,
 ) -> Result<String, BenchError> {
@@ -312,7 +317,7 @@
         operator_keys().iter().map(|key| format!("\"{}\"", hex::encode(key.public_key()))).collect();
     let seat_zones: Vec<String> =
         (0..SEATS).map(|seat| format!("\"{}\"", spec.zones[seat % spec.zones.len()])).collect();
-    let seeds: Vec<String> = places.iter().map(|other| format!("\"{}\"", other.control)).collect();
+    let seeds: Vec<String> = nodes.iter().map(|other| format!("\"{}\"", other.control)).collect();
     let mut text = format!(
         "deployment = \"{}\"\nnode = \"{}\"\nzone = \"{}\"\nsecret = \"secret of the bench's deployment\"\n\n\
          [listen]\ncaller = \"{}\"\ndata = \"{}\"\ncontrol = \"{}\"\nadmin = \"{}\"\n\n\
@@ -320,19 +325,19 @@
          [platform]\nconfiguration = \"{platform}\"\nmembers = \"{platform}\"\npoll_ms = 500\n\n\
          [membership]\nseeds = [{}]\n\n[claims]\nseat_zones = [{}]\n\n[runtime]\nworker_threads = 1\nstop_timeout_ms = 8000\n",
         spec.deployment,
-        place.name,
-        place.zone,
-        place.caller,
-        place.data,
-        place.control,
-        place.admin,
+        node.name,
+        node.zone,
+        node.caller,
+        node.data,
+        node.control,
+        node.admin,
         keys.join(", "),
         seeds.join(", "),
         seat_zones.join(", "),
     );
-    for other in places.iter().filter(|other| other.zone != place.zone) {
-        let data = links.tcp(&place.zone, &other.zone, other.data)?;
-        let control = links.control(&place.zone, &other.zone, other.control)?;
+    for other in nodes.iter().filter(|other| other.zone != node.zone) {
+        let data = links.tcp_proxy(&node.zone, &other.zone, other.data)?;
+        let control = links.control_proxy(&node.zone, &other.zone, other.control)?;
         for (announced, dial) in [(other.data, data), (other.control, control)] {
             text += &format!("\n[[reachable_as]]\nannounced = \"{announced}\"\ndial = \"{dial}\"\n");
         }
--- a/crates/bench/src/links.rs
+++ b/crates/bench/src/links.rs
@@ -1,9 +1,9 @@
-//! The network between zones, on loopback: delay and cuts.
+//! Emulated network between zones on loopback, with delay and partitions.
 //!
-//! Each node reaches the nodes of other zones through forwarders of its own zone.
-//! Forwarding runs on threads of its own, whose sleeps are finer than the runtime's
-//! timers. A cut link holds back TCP bytes, as lost segments would be, and drops
-//! datagrams.
+//! Each node reaches the nodes of other zones through proxies of its own zone. The proxies run
+//! on threads of their own, because a thread's sleep is more precise than the async runtime's
+//! timers. A cut link holds back TCP bytes, as if segments were lost and retransmitted later, and
+//! drops datagrams.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -16,12 +16,12 @@
 
 use crate::error::BenchError;
 
-/// Time between two looks at a cut link.
+/// Interval at which a waiting connection checks whether its link is still cut.
 const CUT_POLL: Duration = Duration::from_millis(5);
-/// Largest datagram or chunk, in bytes.
-const CHUNK: usize = 64 << 10;
+/// Size of the largest datagram and of the largest relayed piece of a TCP stream, in bytes.
+const MAX_CHUNK: usize = 64 << 10;
 
-/// One direction between two zones.
+/// One direction of the link between two zones.
 #[derive(Default)]
 pub struct Link {
     cut: AtomicBool,
@@ -34,7 +34,7 @@
 }
 
 impl Links {
-    /// Whole links between all pairs of zones.
+    /// Creates links between all pairs of zones.
     pub fn new(zones: &[String], delay: Duration) -> Self {
         let mut links = HashMap::new();
         for from in zones {
@@ -45,7 +45,7 @@
         Links { delay, links }
     }
 
-    /// Cuts the links from `zone`, and to it too unless `one_way`.
+    /// Cuts the links from `zone` and, unless `one_way`, those to it.
     pub fn cut(&self, zone: &str, one_way: bool) {
         for ((from, to), link) in &self.links {
             if from == zone || (to == zone && !one_way) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Makes all links whole.
+    /// Ends all cuts.
     pub fn heal(&self) {
         for link in self.links.values() {
             link.cut.store(false, Ordering::SeqCst);
@@ -65,52 +65,53 @@
         self.links.get(&(from.to_string(), to.to_string())).cloned().unwrap_or_default()
     }
 
-    /// A TCP port through which `from` reaches `target` in `to`.
-    pub fn tcp(&self, from: &str, to: &str, target: SocketAddr) -> Result<SocketAddr, BenchError> {
-        let listener = TcpListener::bind("127.0.0.1:0").map_err(process)?;
-        let address = listener.local_addr().map_err(process)?;
-        self.tcp_on(listener, from, to, target);
+    /// Starts a TCP proxy through which `from` reaches `target` in `to`; returns its address.
+    pub fn tcp_proxy(&self, from: &str, to: &str, target: SocketAddr) -> Result<SocketAddr, BenchError> {
+        let listener = TcpListener::bind("127.0.0.1:0").map_err(process_error)?;
+        let address = listener.local_addr().map_err(process_error)?;
+        self.spawn_tcp_proxy(listener, from, to, target);
         Ok(address)
     }
 
-    fn tcp_on(&self, listener: TcpListener, from: &str, to: &str, target: SocketAddr) {
-        let (there, back, delay) = (self.link(from, to), self.link(to, from), self.delay);
+    fn spawn_tcp_proxy(&self, listener: TcpListener, from: &str, to: &str, target: SocketAddr) {
+        let (forward, reverse, delay) = (self.link(from, to), self.link(to, from), self.delay);
         thread::spawn(move || {
             for accepted in listener.incoming().flatten() {
-                let (there, back) = (there.clone(), back.clone());
-                thread::spawn(move || connect(accepted, target, there, back, delay));
+                let (forward, reverse) = (forward.clone(), reverse.clone());
+                thread::spawn(move || relay_connection(accepted, target, forward, reverse, delay));
             }
         });
     }
 
-    /// One port, TCP and UDP, through which `from` reaches the control port of a node in `to`.
-    pub fn control(&self, from: &str, to: &str, target: SocketAddr) -> Result<SocketAddr, BenchError> {
-        let (listener, socket) = bind_both()?;
-        let address = listener.local_addr().map_err(process)?;
-        self.tcp_on(listener, from, to, target);
+    /// Starts a proxy for TCP and UDP on one port, through which `from` reaches the control port of
+    /// a node in `to`; returns its address.
+    pub fn control_proxy(&self, from: &str, to: &str, target: SocketAddr) -> Result<SocketAddr, BenchError> {
+        let (listener, socket) = bind_tcp_and_udp()?;
+        let address = listener.local_addr().map_err(process_error)?;
+        self.spawn_tcp_proxy(listener, from, to, target);
         let (link, delay) = (self.link(from, to), self.delay);
-        let out = UdpSocket::bind("127.0.0.1:0").map_err(process)?;
+        let outgoing = UdpSocket::bind("127.0.0.1:0").map_err(process_error)?;
         let (sender, receiver) = channel::<(Instant, Vec<u8>)>();
         thread::spawn(move || receive_datagrams(&socket, &link, delay, &sender));
         thread::spawn(move || {
             while let Ok((due, bytes)) = receiver.recv() {
                 sleep_until(due);
-                let _ = out.send_to(&bytes, target);
+                let _ = outgoing.send_to(&bytes, target);
             }
         });
         Ok(address)
     }
 }
 
-fn process(error: std::io::Error) -> BenchError {
+fn process_error(error: std::io::Error) -> BenchError {
     BenchError::Process(error.to_string())
 }
 
-/// A TCP and a UDP socket with the same port.
-fn bind_both() -> Result<(TcpListener, UdpSocket), BenchError> {
+/// Binds a TCP and a UDP socket to the same port.
+fn bind_tcp_and_udp() -> Result<(TcpListener, UdpSocket), BenchError> {
     loop {
-        let listener = TcpListener::bind("127.0.0.1:0").map_err(process)?;
-        let address = listener.local_addr().map_err(process)?;
+        let listener = TcpListener::bind("127.0.0.1:0").map_err(process_error)?;
+        let address = listener.local_addr().map_err(process_error)?;
         if let Ok(socket) = UdpSocket::bind(address) {
             return Ok((listener, socket));
         }
@@ -118,7 +119,7 @@
 }
 
 fn receive_datagrams(socket: &UdpSocket, link: &Link, delay: Duration, sender: &Sender<(Instant, Vec<u8>)>) {
-    let mut buffer = vec![0; CHUNK];
+    let mut buffer = vec![0; MAX_CHUNK];
     while let Ok((length, _)) = socket.recv_from(&mut buffer) {
         if link.cut.load(Ordering::SeqCst) {
             continue;
@@ -136,26 +137,32 @@
     }
 }
 
-fn connect(accepted: TcpStream, target: SocketAddr, there: Arc<Link>, back: Arc<Link>, delay: Duration) {
-    while there.cut.load(Ordering::SeqCst) {
+fn relay_connection(
+    accepted: TcpStream,
+    target: SocketAddr,
+    forward: Arc<Link>,
+    reverse: Arc<Link>,
+    delay: Duration,
+) {
+    while forward.cut.load(Ordering::SeqCst) {
         thread::sleep(CUT_POLL);
     }
-    let Ok(other) = TcpStream::connect(target) else {
+    let Ok(connected) = TcpStream::connect(target) else {
         let _ = accepted.shutdown(Shutdown::Both);
         return;
     };
     let _ = accepted.set_nodelay(true);
-    let _ = other.set_nodelay(true);
-    if let (Ok(accepted_copy), Ok(other_copy)) = (accepted.try_clone(), other.try_clone()) {
-        pump(accepted, other_copy, there, delay);
-        pump(other, accepted_copy, back, delay);
+    let _ = connected.set_nodelay(true);
+    if let (Ok(accepted_copy), Ok(connected_copy)) = (accepted.try_clone(), connected.try_clone()) {
+        relay(accepted, connected_copy, forward, delay);
+        relay(connected, accepted_copy, reverse, delay);
     }
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, link: Arc<Link>, delay: Duration) {
+fn relay(mut from: TcpStream, mut to: TcpStream, link: Arc<Link>, delay: Duration) {
     let (sender, receiver): (Sender<(Instant, Vec<u8>)>, Receiver<_>) = channel();
     thread::spawn(move || {
-        let mut buffer = vec![0; CHUNK];
+        let mut buffer = vec![0; MAX_CHUNK];
         while let Ok(length) = from.read(&mut buffer) {
             if length == 0 || sender.send((Instant::now() + delay, buffer[..length].to_vec())).is_err() {
                 break;
--- a/crates/bench/src/platform.rs
+++ b/crates/bench/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of the platform's read-only services.
+//! Emulation of the platform's read-only services.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -22,11 +22,11 @@
 #[derive(Default)]
 struct State {
     bundle: Vec<u8>,
-    configuration_up: bool,
-    list: MachineList,
+    configuration_available: bool,
+    member_list: MachineList,
 }
 
-/// Configuration service and member list on one port.
+/// Configuration service and member list, both on one port.
 #[derive(Clone)]
 pub struct Platform {
     state: Arc<Mutex<State>>,
@@ -36,31 +36,31 @@
 impl Platform {
     /// Starts the services.
     pub async fn start() -> Result<Self, BenchError> {
-        let fail = |error: std::io::Error| BenchError::Process(error.to_string());
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(fail)?;
-        let address = listener.local_addr().map_err(fail)?;
+        let process_error = |error: std::io::Error| BenchError::Process(error.to_string());
+        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(process_error)?;
+        let address = listener.local_addr().map_err(process_error)?;
         let platform = Platform { state: Arc::default(), address };
-        platform.set_configuration_up(true);
+        platform.set_configuration_available(true);
         tokio::spawn(serve(platform.clone(), listener));
         Ok(platform)
     }
 
-    fn with<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
+    fn with_state<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         change(&mut self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// Publishes a bundle.
+    /// Serves this bundle from now on.
     pub fn publish(&self, signed: &SignedBundle) {
-        self.with(|state| state.bundle = signed.to_bytes());
+        self.with_state(|state| state.bundle = signed.to_bytes());
     }
 
-    /// The configuration service answers, or refuses every read.
-    pub fn set_configuration_up(&self, up: bool) {
-        self.with(|state| state.configuration_up = up);
+    /// Makes the configuration service available, or lets it refuse every read.
+    pub fn set_configuration_available(&self, available: bool) {
+        self.with_state(|state| state.configuration_available = available);
     }
 
-    /// Lists these machines.
-    pub fn set_machines(
+    /// Sets the instances (name, service, zone, address) and nodes of the member list.
+    pub fn set_member_list(
         &self,
         instances: &[(String, String, String, SocketAddr)],
         nodes: &HashMap<String, SocketAddr>,
@@ -73,17 +73,18 @@
             state: "live".into(),
         };
         let nodes = nodes.iter().map(|(name, control)| ListedNode { name: name.clone(), control: *control });
-        let list = MachineList { instances: instances.iter().map(listed).collect(), nodes: nodes.collect() };
-        self.with(|state| state.list = list);
+        let member_list =
+            MachineList { instances: instances.iter().map(listed).collect(), nodes: nodes.collect() };
+        self.with_state(|state| state.member_list = member_list);
     }
 
-    /// Lists an instance as leaving or live, `lag` after now.
-    pub fn set_leaving(&self, instance: String, leaving: bool, lag: Duration) {
+    /// Lists an instance as leaving or live after `delay`.
+    pub fn set_leaving(&self, instance: String, leaving: bool, delay: Duration) {
         let platform = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(lag).await;
-            platform.with(|state| {
-                for listed in state.list.instances.iter_mut().filter(|listed| listed.name == instance) {
+            tokio::time::sleep(delay).await;
+            platform.with_state(|state| {
+                for listed in state.member_list.instances.iter_mut().filter(|listed| listed.name == instance) {
                     listed.state = if leaving { "leaving" } else { "live" }.into();
                 }
             });
@@ -108,13 +109,13 @@
 }
 
 fn handle(platform: &Platform, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let content = platform.with(|state| match request.uri().path() {
-        "/bundle" if state.configuration_up && !state.bundle.is_empty() => Some(state.bundle.clone()),
-        "/members" => serde_json::to_vec(&state.list).ok(),
+    let body = platform.with_state(|state| match request.uri().path() {
+        "/bundle" if state.configuration_available && !state.bundle.is_empty() => Some(state.bundle.clone()),
+        "/members" => serde_json::to_vec(&state.member_list).ok(),
         _ => None,
     });
-    let mut response = Response::new(Full::from(content.clone().unwrap_or_default()));
-    if content.is_none() {
+    let mut response = Response::new(Full::from(body.clone().unwrap_or_default()));
+    if body.is_none() {
         *response.status_mut() = hyper::StatusCode::SERVICE_UNAVAILABLE;
     }
     response
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens when, in each scenario.
+//! Scenarios: load, client behaviour, and faults with their times.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -6,44 +6,45 @@
 use crate::load::driver::ClientBehaviour;
 use crate::load::schedule::Phase;
 
-/// Something done to the system.
+/// A fault or operation applied to the system under test.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// The deepest service becomes slower by a factor; 1 ends it.
-    SlowDeep(f64),
-    /// Each execution breaks its connection with this probability, in thousandths.
-    Breaking(u32),
-    /// All instances of the first service are cold.
-    Cold,
-    /// An instance leaves; `lying` hides it from health, the member list lags by the milliseconds.
-    Leave { lying: bool, lag_ms: u64 },
-    /// The instance is back.
-    Back,
-    /// A node is killed.
+    /// Multiplies the service times of the service deepest in the call graph; 1 ends it.
+    SlowDeepest(f64),
+    /// Closes the connection instead of a response with this probability, in thousandths.
+    BreakConnections(u32),
+    /// Emulates a cold start of all instances of the first service.
+    ColdStart,
+    /// An instance leaves. `hidden_from_health`: its health check does not show it; `list_lag_ms`:
+    /// time until the member list shows it.
+    Leave { hidden_from_health: bool, list_lag_ms: u64 },
+    /// The leaving instance returns to service.
+    Return,
+    /// Kills a node.
     Kill(usize),
-    /// A killed node is started again, its memory empty.
+    /// Starts a killed node again, without the state that it held in memory.
     Start(usize),
-    /// A node is frozen for some milliseconds.
+    /// Suspends a node's process for some milliseconds.
     Freeze(usize, u64),
-    /// A zone is cut off, in both directions or only outwards.
+    /// Cuts the links of a zone, in both directions or only those from the zone to others.
     Cut { zone: usize, one_way: bool },
-    /// All links are whole again.
+    /// Ends all cuts.
     Heal,
-    /// The configuration service goes away or comes back.
+    /// Makes the configuration service available (true) or unavailable (false).
     Configuration(bool),
-    /// A new bundle version is published.
+    /// Publishes a new bundle version.
     Publish,
-    /// The configuration service goes back to the first version.
+    /// Makes the configuration service serve the first version again.
     PublishStale,
-    /// Two operators publish the same version at once.
+    /// Two operators publish conflicting bundles with the same version shortly after each other.
     PublishRace,
-    /// Every node is replaced, one after the other, in the planned way.
+    /// Stops every node gracefully and starts it again, one after the other.
     RollingReplace,
-    /// All nodes are killed at once.
+    /// Kills all nodes at once.
     KillAll,
-    /// All nodes are started.
+    /// Starts all nodes.
     StartAll,
-    /// The trigger of the overload ends.
+    /// Marks the end of the overload's cause; recovery is measured from here.
     TriggerEnd,
 }
 
@@ -51,24 +52,24 @@
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub name: String,
-    /// Load as multiples of the mix's capacity.
+    /// Load as multiples of the capacity for the traffic mix.
     pub phases: Vec<Phase>,
-    /// Actions with their time in seconds, in order.
+    /// Actions with their time in seconds after the start, in order.
     pub actions: Vec<(f64, Action)>,
     pub behaviour: ClientBehaviour,
-    /// A group whose demand is multiplied.
+    /// Index of a group whose load is multiplied, and the factor.
     pub greedy: Option<(usize, f64)>,
-    /// Only the first kind of the traffic.
-    pub one_call: bool,
+    /// Uses only the first call of the traffic mix.
+    pub single_call: bool,
     /// Factor on body sizes.
     pub body_factor: usize,
-    /// Directory below the deployment's with another call graph.
+    /// Subdirectory of the deployment's directory with a different call graph.
     pub variant: Option<&'static str>,
-    /// True when the arms without nodes take part.
+    /// True if the arms without nodes are run too.
     pub with_baselines: bool,
 }
 
-/// All scenario names.
+/// Names of all scenarios.
 pub const NAMES: [&str; 24] = [
     "steady",
     "surge",
@@ -96,46 +97,47 @@
     "all-at-once",
 ];
 
-/// Load of ordinary operation, as a part of capacity.
-const ORDINARY: f64 = 0.8;
-/// Load while failures of the system itself are injected.
-const MODERATE: f64 = 0.5;
-/// Load of a surge.
-const SURGE: f64 = 3.0;
+/// Load of normal operation, as a fraction of capacity.
+const NORMAL_LOAD: f64 = 0.8;
+/// Load while faults of the system itself are injected, as a fraction of capacity.
+const MODERATE_LOAD: f64 = 0.5;
+/// Load of a surge, as a multiple of capacity.
+const SURGE_LOAD: f64 = 3.0;
 
-fn patient() -> ClientBehaviour {
+fn single_attempt() -> ClientBehaviour {
     ClientBehaviour { attempts: 1, honours_retry_after: true, deadline_ms: 1_000, sends_duplicates: false }
 }
 
-fn polite_retries() -> ClientBehaviour {
-    ClientBehaviour { attempts: 3, ..patient() }
+fn delayed_retries() -> ClientBehaviour {
+    ClientBehaviour { attempts: 3, ..single_attempt() }
 }
 
-fn impatient() -> ClientBehaviour {
-    ClientBehaviour { attempts: 4, honours_retry_after: false, ..patient() }
+fn immediate_retries() -> ClientBehaviour {
+    ClientBehaviour { attempts: 4, honours_retry_after: false, ..single_attempt() }
 }
 
 impl Scenario {
-    /// The scenario named `name` over `seconds`; `nodes` and `zones` are the fleet's size.
-    pub fn named(name: &str, seconds: f64, seed: u64, nodes: usize, zones: usize) -> Option<Self> {
+    /// Returns the scenario `name` with a length of `seconds`; `nodes` and `zones` are the numbers
+    /// of nodes and zones of the deployment.
+    pub fn by_name(name: &str, seconds: f64, seed: u64, nodes: usize, zones: usize) -> Option<Self> {
         let at = |fraction: f64| fraction * seconds;
         let begin = at(0.3);
         let end = at(0.6);
         let constant = |load| vec![Phase { from: 0.0, per_second: load }];
-        let burst = |load| {
+        let elevated = |load| {
             vec![
-                Phase { from: 0.0, per_second: ORDINARY },
+                Phase { from: 0.0, per_second: NORMAL_LOAD },
                 Phase { from: begin, per_second: load },
-                Phase { from: end, per_second: ORDINARY },
+                Phase { from: end, per_second: NORMAL_LOAD },
             ]
         };
         let mut scenario = Scenario {
             name: name.to_string(),
-            phases: constant(MODERATE),
+            phases: constant(MODERATE_LOAD),
             actions: Vec::new(),
-            behaviour: polite_retries(),
+            behaviour: delayed_retries(),
             greedy: None,
-            one_call: false,
+            single_call: false,
             body_factor: 1,
             variant: None,
             with_baselines: false,
@@ -146,44 +148,46 @@
             scenario.with_baselines = true;
         };
         match name {
-            "steady" => overload(&mut scenario, constant(ORDINARY), patient()),
+            "steady" => overload(&mut scenario, constant(NORMAL_LOAD), single_attempt()),
             "surge" => {
-                overload(&mut scenario, burst(SURGE), patient());
+                overload(&mut scenario, elevated(SURGE_LOAD), single_attempt());
                 scenario.actions = vec![(end, Action::TriggerEnd)];
             }
             "slow-deep-service" => {
-                overload(&mut scenario, constant(ORDINARY), patient());
-                scenario.actions = slow_between(begin, end, 4.0);
+                overload(&mut scenario, constant(NORMAL_LOAD), single_attempt());
+                scenario.actions = slow_deepest_between(begin, end, 4.0);
             }
             "retry-storm" => {
-                overload(&mut scenario, burst(1.5), impatient());
+                overload(&mut scenario, elevated(1.5), immediate_retries());
                 scenario.actions = vec![(end, Action::TriggerEnd)];
             }
             "surge-slow-retry" => {
-                overload(&mut scenario, burst(SURGE), impatient());
-                scenario.actions = slow_between(begin, end, 2.0);
+                overload(&mut scenario, elevated(SURGE_LOAD), immediate_retries());
+                scenario.actions = slow_deepest_between(begin, end, 2.0);
             }
             "fairness" => {
-                overload(&mut scenario, constant(SURGE), patient());
+                overload(&mut scenario, constant(SURGE_LOAD), single_attempt());
                 scenario.greedy = Some((0, 2.0));
-                scenario.one_call = true;
+                scenario.single_call = true;
             }
             "cold-start" => {
-                overload(&mut scenario, constant(ORDINARY), patient());
-                scenario.actions = vec![(begin, Action::Cold)];
+                overload(&mut scenario, constant(NORMAL_LOAD), single_attempt());
+                scenario.actions = vec![(begin, Action::ColdStart)];
             }
             "lying-health" => {
-                overload(&mut scenario, constant(MODERATE), patient());
-                scenario.actions =
-                    vec![(begin, Action::Leave { lying: true, lag_ms: 5_000 }), (at(0.8), Action::Back)];
+                overload(&mut scenario, constant(MODERATE_LOAD), single_attempt());
+                scenario.actions = vec![
+                    (begin, Action::Leave { hidden_from_health: true, list_lag_ms: 5_000 }),
+                    (at(0.8), Action::Return),
+                ];
             }
             "deep-chain" => {
-                overload(&mut scenario, constant(MODERATE), patient());
+                overload(&mut scenario, constant(MODERATE_LOAD), single_attempt());
                 scenario.variant = Some("deep-chain");
-                scenario.actions = vec![(at(0.2), Action::Breaking(30))];
+                scenario.actions = vec![(at(0.2), Action::BreakConnections(30))];
             }
             "mixed-sizes" => {
-                overload(&mut scenario, constant(MODERATE), patient());
+                overload(&mut scenario, constant(MODERATE_LOAD), single_attempt());
                 scenario.body_factor = 8;
             }
             "node-kill" => scenario.actions = vec![(begin, Action::Kill(0)), (at(0.7), Action::Start(0))],
@@ -214,8 +218,10 @@
                 scenario.actions = vec![(at(0.2), Action::PublishRace), (at(0.5), Action::PublishRace)];
             }
             "back-end-drain" => {
-                scenario.actions =
-                    vec![(begin, Action::Leave { lying: false, lag_ms: 3_000 }), (at(0.7), Action::Back)];
+                scenario.actions = vec![
+                    (begin, Action::Leave { hidden_from_health: false, list_lag_ms: 3_000 }),
+                    (at(0.7), Action::Return),
+                ];
             }
             "rolling-replace" => scenario.actions = vec![(at(0.15), Action::RollingReplace)],
             "full-restart" => {
@@ -245,18 +251,18 @@
     }
 }
 
-/// The deepest service slower by a factor; the reservations' and checkouts' own demand
-/// still fits at three times the load when the factor is 2.
-fn slow_between(begin: f64, end: f64, factor: f64) -> Vec<(f64, Action)> {
-    vec![(begin, Action::SlowDeep(factor)), (end, Action::SlowDeep(1.0)), (end, Action::TriggerEnd)]
+/// Multiplies the service times of the deepest service from `begin` to `end`. With a factor of 2
+/// and three times the load, the slots still suffice for the reservations and checkouts alone.
+fn slow_deepest_between(begin: f64, end: f64, factor: f64) -> Vec<(f64, Action)> {
+    vec![(begin, Action::SlowDeepest(factor)), (end, Action::SlowDeepest(1.0)), (end, Action::TriggerEnd)]
 }
 
 fn cut_between(begin: f64, end: f64, one_way: bool) -> Vec<(f64, Action)> {
     vec![(begin, Action::Cut { zone: 0, one_way }), (end, Action::Heal)]
 }
 
-/// A seeded schedule of failures in the middle of the experiment; the last part is
-/// quiet, so that the system can show that it recovers.
+/// Draws a seeded schedule of faults for the middle of the experiment. The last part has none, so
+/// that recovery can be measured.
 fn random_schedule(seconds: f64, seed: u64, nodes: usize, zones: usize) -> Vec<(f64, Action)> {
     let mut random = StdRng::seed_from_u64(seed ^ 0x5eed);
     let mut actions = Vec::new();
@@ -282,19 +288,19 @@
             5 => actions.push((at, Action::Publish)),
             6 => actions.push((at, Action::PublishRace)),
             7 => {
-                actions.push((at, Action::Leave { lying: random.random(), lag_ms: 3_000 }));
-                actions.push((at + 4.0, Action::Back));
+                actions.push((at, Action::Leave { hidden_from_health: random.random(), list_lag_ms: 3_000 }));
+                actions.push((at + 4.0, Action::Return));
             }
             _ => {
-                actions.push((at, Action::SlowDeep(3.0)));
-                actions.push((at + 1.5, Action::SlowDeep(1.0)));
+                actions.push((at, Action::SlowDeepest(3.0)));
+                actions.push((at + 1.5, Action::SlowDeepest(1.0)));
             }
         }
         at += random.random_range(0.3..1.8);
     }
     actions.push((0.75 * seconds, Action::Heal));
     actions.push((0.75 * seconds, Action::Configuration(true)));
-    actions.push((0.75 * seconds, Action::SlowDeep(1.0)));
+    actions.push((0.75 * seconds, Action::SlowDeepest(1.0)));
     actions.sort_by(|left, right| left.0.total_cmp(&right.0));
     actions
 }
--- a/crates/bench/src/spec.rs
+++ b/crates/bench/src/spec.rs
@@ -73,9 +73,9 @@
 impl DeploymentSpec {
     /// Reads and checks a file.
     pub fn read(file: &Path) -> Result<Self, BenchError> {
-        let fail = |reason: String| BenchError::File(format!("file={} {reason}", file.display()));
-        let text = std::fs::read_to_string(file).map_err(|error| fail(error.to_string()))?;
-        Self::from_toml(&text).map_err(|mistakes| fail(mistakes.to_string()))
+        let file_error = |reason: String| BenchError::File(format!("file={} {reason}", file.display()));
+        let text = std::fs::read_to_string(file).map_err(|error| file_error(error.to_string()))?;
+        Self::from_toml(&text).map_err(|errors| file_error(errors.to_string()))
     }
 
     /// Reads and checks text.
