--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -131,7 +131,7 @@
         let file = experiment.out.join(format!("history-{}.json", result.arm.name()));
         std::fs::write(file, text).map_err(|error| BenchError::File(error.to_string()))?;
     }
-    let summary = Summary::of(experiment, results);
+    let summary = Summary::from_results(experiment, results);
     summary.write(&experiment.out)?;
     report::write(experiment, results, &experiment.out)?;
     println!("{}", summary.table());
--- a/crates/bench/src/error.rs
+++ b/crates/bench/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors of the bench.
+//! Error type of the bench commands.
 
 use std::fmt;
 
 /// Why a bench command failed.
 #[derive(Debug)]
 pub enum BenchError {
-    /// The command line can't be understood.
+    /// The command line is invalid.
     Usage(String),
-    /// A file can't be read or written, or has mistakes.
+    /// A file can't be read or written, or its content is invalid.
     File(String),
-    /// A process of the experiment can't be started or doesn't answer.
+    /// A process or socket of the experiment can't be set up, or a process doesn't become ready.
     Process(String),
-    /// A promise was broken; the number of violations.
+    /// Promises were broken; holds the number of violations.
     Violations(usize),
 }
 
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,14 +1,18 @@
-//! `olivegate-bench`: emulated back ends, load, failures and history checks.
+//! `olivegate-bench`: emulated back ends, load, fault injection and history checks.
 //!
-//! - `spec`: a deployment's services, call graph and traffic; `capacity`: what its slots can serve.
-//! - `back_ends`: the emulator of back ends, a process of its own.
-//! - `platform`: stand-ins of the configuration service and the member list.
-//! - `links`: the network between zones, with delay and cuts.
-//! - `fleet`: node processes: start, kill, freeze, stop, replace.
-//! - `load`: clients. `scenario`: what happens when. `arms`: what is compared.
-//! - `history`, `checker`: what was recorded, and whether a promise was broken.
-//! - `summary`, `report`: `summary.json`, the table and the picture.
-//! - `soak`: sidecar processes under random faults, and the promises judged.
+//! - `command`: the command line.
+//! - `spec`: services, call graph and traffic of a deployment; `capacity`: load that its slots can
+//!   serve.
+//! - `back_ends`: the back end emulator, which runs as a process of its own.
+//! - `platform`: emulated configuration service and member list.
+//! - `links`: emulated network between zones, with delay and partitions.
+//! - `fleet`: node processes.
+//! - `load`: the load generator; `scenario`: load and faults over time.
+//! - `arms`: the systems that are compared; `forwarder`: plain forwarders, one of them.
+//! - `experiment`: runs an arm and records its history.
+//! - `history`: the recorded history; `checker`: finds broken promises in it.
+//! - `summary`: `summary.json` and the printed table; `report`: the HTML report.
+//! - `soak`: sidecar processes under random faults, checked against their promises.
 
 mod arms;
 mod back_ends;
@@ -30,5 +34,5 @@
 mod summary;
 mod wall_clock;
 
-/// Runs the command with these arguments, the program's name left out.
+/// Runs the command with these arguments, which don't include the program's name.
 pub use command::run;
--- a/crates/bench/src/spec.rs
+++ b/crates/bench/src/spec.rs
@@ -1,4 +1,4 @@
-//! A deployment as the bench emulates it.
+//! Description of an emulated deployment (`deployment.toml`).
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 use crate::error::BenchError;
 
-/// A service with its instances.
+/// A service: number of instances, and the slots and connection limit of each.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceSpec {
     pub name: String,
@@ -22,21 +22,21 @@
     /// Method and path, such as `GET /catalogue/search`.
     pub call: String,
     pub service: String,
-    /// Mean service time, without calls made on behalf.
+    /// Mean service time without downstream calls, in milliseconds.
     pub service_ms: u64,
     pub body_bytes: usize,
-    /// Calls made on behalf, one after the other.
+    /// Downstream calls, made one after the other.
     pub calls: Vec<String>,
 }
 
-/// A part of the traffic.
+/// Share of one call in the traffic mix.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TrafficSpec {
     pub call: String,
     pub share: f64,
 }
 
-/// A group of callers.
+/// A group of callers and its share of the traffic.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct GroupSpec {
     pub name: String,
@@ -44,7 +44,7 @@
     pub share: f64,
 }
 
-/// The whole deployment.
+/// A deployment: zones, services, endpoints, traffic mix and groups of callers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DeploymentSpec {
     pub deployment: String,
@@ -71,14 +71,14 @@
 }
 
 impl DeploymentSpec {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn read(file: &Path) -> Result<Self, BenchError> {
         let file_error = |reason: String| BenchError::File(format!("file={} {reason}", file.display()));
         let text = std::fs::read_to_string(file).map_err(|error| file_error(error.to_string()))?;
         Self::from_toml(&text).map_err(|errors| file_error(errors.to_string()))
     }
 
-    /// Reads and checks text.
+    /// Parses and validates text.
     pub fn from_toml(text: &str) -> Result<Self, FieldErrors> {
         let mut reader = TableReader::parse(text)?;
         let spec = DeploymentSpec {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// An endpoint by method and path.
+    /// Returns an endpoint by method and path.
     pub fn endpoint(&self, call: &str) -> Option<&EndpointSpec> {
         self.endpoints.iter().find(|endpoint| endpoint.call == call)
     }
@@ -143,7 +143,7 @@
     }
 }
 
-/// The TOML form, for the emulator's process.
+/// Formats a deployment as TOML, for the emulator's process.
 pub fn to_toml(spec: &DeploymentSpec) -> String {
     let mut text = format!(
         "deployment = {:?}\nzones = {:?}\nzone_delay_us = {}\nclient_delay_us = {}\nnodes_per_zone = {}\n",
