--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -15,7 +15,7 @@
 pub fn write(experiment: &Experiment, results: &[ArmResult], out: &Path) -> Result<(), BenchError> {
     let mut html = format!(
         "<!doctype html><meta charset=\"utf-8\"><title>{0} {1}</title><h1>{0}, {1}, seed {2}</h1>\
-         <p>Requests answered well per second, by importance (red 3, orange 2, blue 1, grey 0); dotted: all offered.</p>",
+         <p>Successful requests per second, by importance (red 3, orange 2, blue 1, grey 0); dotted: all offered.</p>",
         experiment.spec.deployment, experiment.scenario.name, experiment.seed
     );
     for result in results {
