--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -34,7 +34,7 @@
     spec.services.iter().map(|service| (service.name.clone(), total_slots(service))).collect()
 }
 
-/// Requests per second of the traffic mix at which the slots of one service are fully used.
+/// Requests per second of the traffic mix at which the slots of the busiest service are fully used.
 pub fn mix_capacity(spec: &DeploymentSpec) -> f64 {
     let total: f64 = spec.traffic.iter().map(|traffic| traffic.share).sum();
     let mut per_request: HashMap<String, f64> = HashMap::new();
--- a/crates/bench/src/checker.rs
+++ b/crates/bench/src/checker.rs
@@ -47,7 +47,7 @@
     pub detail: String,
 }
 
-/// Returns all violations that a history shows.
+/// Returns all violations that a history shows. In arms without nodes only the responses are checked.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = check_responses(history);
     if history.judged {
--- a/crates/bench/src/command.rs
+++ b/crates/bench/src/command.rs
@@ -30,7 +30,7 @@
                        [--only N,N,..] [--planned] [--kinds NAME,..] [--gap T] [--load F] [--examples DIR]
       Run a sidecar process beside each emulated instance under random faults and check
       the promises. --only keeps these faults of the plan; --planned draws only planned
-      maintenance, --kinds only faults of these kinds, such as Pause, --gap the mean
+      operations, --kinds only faults of these kinds, such as Pause, --gap the mean
       seconds between faults (2). --load is the usual load as a fraction of what the
       slots can serve (0.5). Writes plan.txt, violations.txt, traces.txt (log lines of
       the requests that the violations are about) and the logs; exits 1 on a broken
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -157,13 +157,13 @@
             Arm::PassThrough => arms::pass_through(&self.spec, &addresses, &self.out)?,
         };
         let capacity = mix_capacity(&self.spec);
-        let (importance, keyed) = (self.clone(), self.clone());
+        let (importance_source, key_source) = (self.clone(), self.clone());
         let driver = Arc::new(Driver::new(
             self.spec.clone(),
             self.scenario.behaviour,
             system.targets.clone(),
-            Arc::new(move |call: &str| importance.importance(call)),
-            Arc::new(move |call: &str| keyed.needs_key(call)),
+            Arc::new(move |call: &str| importance_source.importance(call)),
+            Arc::new(move |call: &str| key_source.needs_key(call)),
             format!("{}-{}", arm.name(), self.seed),
         ));
         self.warm_up(&driver).await;
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -44,7 +44,7 @@
     pub data: SocketAddr,
     pub control: SocketAddr,
     pub admin: SocketAddr,
-    settings: PathBuf,
+    settings_file: PathBuf,
 }
 
 struct RunningNode {
@@ -91,7 +91,7 @@
             let name = format!("{zone}-{}", index / spec.zones.len());
             let ports = &ports[index * 4..index * 4 + 4];
             nodes.push(FleetNode {
-                settings: directory.join(format!("{name}.toml")),
+                settings_file: directory.join(format!("{name}.toml")),
                 name,
                 zone: zone.clone(),
                 caller: ports[0],
@@ -102,7 +102,7 @@
         }
         for node in &nodes {
             let text = settings_text(spec, node, &nodes, platform, links)?;
-            std::fs::write(&node.settings, text).map_err(|error| BenchError::File(error.to_string()))?;
+            std::fs::write(&node.settings_file, text).map_err(|error| BenchError::File(error.to_string()))?;
         }
         let program = std::env::current_exe().map_err(|error| BenchError::Process(error.to_string()))?;
         let (running, start_counts) = (Mutex::default(), Mutex::default());
@@ -118,7 +118,7 @@
             .append(true)
             .open(self.log_directory.join(format!("{name}.log")));
         let mut command = Command::new(&self.program);
-        command.arg("node").arg("--settings").arg(&node.settings);
+        command.arg("node").arg("--settings").arg(&node.settings_file);
         if new_deployment {
             command.arg("--new-deployment");
         }
--- a/crates/bench/src/load/driver.rs
+++ b/crates/bench/src/load/driver.rs
@@ -41,8 +41,11 @@
     pub spec: DeploymentSpec,
     pub behaviour: ClientBehaviour,
     pub targets: TargetSelector,
+    /// Importance of a call (method and path).
     pub importance: Arc<dyn Fn(&str) -> u8 + Send + Sync>,
-    pub keyed: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+    /// True for calls that are sent with an idempotency key.
+    pub needs_key: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+    /// Prefix of the tokens and idempotency keys, unique to the arm and seed.
     pub run_name: String,
     pool: HttpPool,
     calls: Mutex<Vec<ClientCall>>,
@@ -55,11 +58,11 @@
         behaviour: ClientBehaviour,
         targets: TargetSelector,
         importance: Arc<dyn Fn(&str) -> u8 + Send + Sync>,
-        keyed: Arc<dyn Fn(&str) -> bool + Send + Sync>,
+        needs_key: Arc<dyn Fn(&str) -> bool + Send + Sync>,
         run_name: String,
     ) -> Self {
         let (pool, calls) = (HttpPool::default(), Mutex::default());
-        Driver { spec, behaviour, targets, importance, keyed, run_name, pool, calls }
+        Driver { spec, behaviour, targets, importance, needs_key, run_name, pool, calls }
     }
 
     /// Starts each request at its arrival time and waits until all have ended.
@@ -70,7 +73,7 @@
             let at = start + Duration::from_secs_f64(arrival.at);
             tokio::time::sleep_until(at.into()).await;
             let driver = self.clone();
-            if self.behaviour.sends_duplicates && (self.keyed)(&arrival.call) {
+            if self.behaviour.sends_duplicates && (self.needs_key)(&arrival.call) {
                 let mut duplicate = arrival.clone();
                 duplicate.target_choice = arrival.target_choice.wrapping_add(1);
                 let driver = self.clone();
@@ -107,7 +110,7 @@
     async fn attempt(&self, arrival: &Arrival, attempt: u32, token_suffix: &str) -> ClientCall {
         let group = &self.spec.groups[arrival.group];
         let token = format!("{}.{}.{attempt}{token_suffix}", self.run_name, arrival.logical);
-        let key = (self.keyed)(&arrival.call).then(|| format!("{}-{}", self.run_name, arrival.logical));
+        let key = (self.needs_key)(&arrival.call).then(|| format!("{}-{}", self.run_name, arrival.logical));
         let mut headers = vec![
             (TOKEN, token.clone()),
             (header::GROUP_CREDENTIAL, group.credential.clone()),
