--- a/crates/sidecar/tests/path/crashing.rs
+++ b/crates/sidecar/tests/path/crashing.rs
@@ -21,8 +21,8 @@
 
 use crate::client::{Client, get, post};
 use crate::instance::{Action, ReceivedRequest, TestInstance, response};
-use crate::lateness::{since_start, stalled_between};
 use crate::support::{Fleet, configuration, route, run};
+use crate::thread_stalls::{since_start, stalled_between};
 
 /// Machines with an instance of the service.
 const INSTANCES: u8 = 4;
--- a/crates/sidecar/tests/path/main.rs
+++ b/crates/sidecar/tests/path/main.rs
@@ -2,7 +2,6 @@
 //! loopback.
 
 mod answers;
-mod asking;
 mod calls;
 mod client;
 mod configuration;
@@ -11,9 +10,10 @@
 mod deadlines;
 mod failing;
 mod gates;
+mod identity_checks;
+mod idle_connections;
 mod instance;
 mod keys;
-mod lateness;
 mod leaving;
 mod limits;
 mod load;
@@ -21,8 +21,8 @@
 mod replaced;
 mod requests;
 mod restarted;
-mod resting;
 mod restored;
 mod source;
 mod stopping;
 mod support;
+mod thread_stalls;
--- a/crates/sidecar/tests/path/support.rs
+++ b/crates/sidecar/tests/path/support.rs
@@ -25,7 +25,7 @@
 use olivegate_types::{InstanceName, NodeName, ServiceName, TenantName, ZoneName};
 use tokio::task::LocalSet;
 
-use crate::lateness::StallMonitor;
+use crate::thread_stalls::StallMonitor;
 
 pub const WIRE_NAMES: WireNames = WireNames {
     request_id: "x-id",
