--- a/crates/sidecar/tests/path/answers.rs
+++ b/crates/sidecar/tests/path/answers.rs
@@ -31,7 +31,7 @@
 }
 
 #[rstest]
-fn an_answer_passes_two_nodes_unchanged() {
+fn a_response_passes_two_nodes_unchanged() {
     run(async {
         let (fleet, instance) = two_machines(|request, _| respond_ok(request)).await;
         let mut client = Client::connect(fleet.outbound(1)).await;
@@ -67,7 +67,7 @@
 
 #[rstest]
 #[case::surplus_response_while_idle("HTTP/1.1 200 OK\r\nx-id: r0\r\nContent-Length: 3\r\n\r\nold")]
-#[case::bytes_that_are_no_answer("\x01\x02garbage")]
+#[case::bytes_that_are_no_response("\x01\x02garbage")]
 fn bytes_after_a_complete_response_are_discarded(#[case] surplus: &'static str) {
     run(async move {
         let (fleet, instance) = two_machines(move |request, before| {
@@ -90,10 +90,10 @@
 #[rstest]
 #[case::closed(vec![Action::Close])]
 #[case::reset(vec![Action::Reset])]
-#[case::half_an_answer(vec![Action::Send("HTTP/1.1 200 OK\r\nx-id: r1\r\nContent-Length: 9\r\n\r\nhalf".into()), Action::Close])]
+#[case::truncated_response(vec![Action::Send("HTTP/1.1 200 OK\r\nx-id: r1\r\nContent-Length: 9\r\n\r\nhalf".into()), Action::Close])]
 #[case::unframed_and_reset(vec![Action::Send("HTTP/1.1 200 OK\r\nx-id: r1\r\n\r\nhalf".into()), Action::Sleep(30), Action::Reset])]
-#[case::no_answer_at_all(vec![Action::Send("\x01\x02\x03\x04".into())])]
-fn what_may_have_run_once_is_not_run_again_nor_called_not_run(#[case] actions: Vec<Action>) {
+#[case::no_http_response(vec![Action::Send("\x01\x02\x03\x04".into())])]
+fn what_may_have_run_is_not_run_again_nor_reported_as_not_run(#[case] actions: Vec<Action>) {
     run(async move {
         let (fleet, instance) = two_machines(move |_, _| actions.clone()).await;
         let mut client = Client::connect(fleet.outbound(1)).await;
@@ -135,7 +135,7 @@
 }
 
 #[rstest]
-fn an_answer_without_length_is_whole_when_its_connection_closes() {
+fn a_response_without_length_is_complete_when_its_connection_closes() {
     run(async {
         let script = |request: &ReceivedRequest, _| {
             let text = format!("HTTP/1.1 200 OK\r\nx-id: {}\r\n\r\nall of it", request.id());
@@ -149,7 +149,7 @@
 }
 
 #[rstest]
-fn a_large_answer_that_breaks_off_does_not_look_whole() {
+fn a_large_response_that_breaks_off_does_not_look_complete() {
     run(async {
         let script = |request: &ReceivedRequest, _| {
             let head = format!("HTTP/1.1 200 OK\r\nx-id: {}\r\nTransfer-Encoding: chunked\r\n\r\n", request.id());
@@ -182,7 +182,7 @@
 }
 
 #[rstest]
-fn only_the_instances_word_makes_a_refusal() {
+fn a_refusal_of_the_instance_is_passed_on_with_a_retry_time() {
     run(async {
         let refusal = |request: &ReceivedRequest, _| {
             vec![Action::Send(format!(
--- a/crates/sidecar/tests/path/crashing.rs
+++ b/crates/sidecar/tests/path/crashing.rs
@@ -35,10 +35,10 @@
 /// Arrivals of such a content that are tolerated after that.
 const MAX_LATE_ARRIVALS: usize = 3;
 /// Attempts of the deadly request, and the pause between them.
-const TRIES: usize = 40;
+const ATTEMPTS: usize = 40;
 const PAUSE: Duration = Duration::from_millis(100);
 /// Maximum number of times that the last request is sent while the test's own thread keeps stalling.
-const MAX_DISTURBED_RETRIES: usize = 30;
+const MAX_STALLED_ATTEMPTS: usize = 30;
 
 /// What happened to the instances, and the running ones.
 #[derive(Default)]
@@ -201,15 +201,15 @@
     (fleet, history)
 }
 
-/// Sends the deadly request `tries` times through both edges and returns the status of the last response. A
-/// client that disconnects early proves nothing if the test's own thread stalled meanwhile, so the last one
+/// Sends the deadly request `attempts` times through both edges and returns the status of the last response.
+/// A client that disconnects early proves nothing if the test's own thread stalled meanwhile, so the last one
 /// sends its request again then.
-async fn send_deadly(fleet: &Fleet, kind: RequestKind, tries: usize) -> Option<u16> {
-    for number in 0..tries - 1 {
+async fn send_deadly(fleet: &Fleet, kind: RequestKind, attempts: usize) -> Option<u16> {
+    for number in 0..attempts - 1 {
         send_deadly_once(fleet, kind, number).await;
     }
-    for _ in 0..MAX_DISTURBED_RETRIES {
-        let sent = send_deadly_once(fleet, kind, tries - 1).await;
+    for _ in 0..MAX_STALLED_ATTEMPTS {
+        let sent = send_deadly_once(fleet, kind, attempts - 1).await;
         let was_stalled = kind == RequestKind::Leaving && stalled_between(sent.from, sent.until);
         if !was_stalled {
             return sent.status;
@@ -249,14 +249,14 @@
 #[case::streamed(RequestKind::Streamed, Some(503))]
 #[case::as_a_call(RequestKind::Call, Some(500))]
 #[case::clients_that_leave(RequestKind::Leaving, Some(503))]
-fn a_content_that_ends_its_instances_is_soon_sent_to_none(
+fn a_content_that_crashes_its_instances_is_soon_sent_to_none(
     #[case] kind: RequestKind,
     #[case] expected_last_status: Option<u16>,
 ) {
     run(async move {
         let (fleet, history) = start().await;
-        let others = spawn_local(request_others(fleet.clone(), |number| format!("/safe/{number}"), TRIES * 3));
-        let last_status = send_deadly(&fleet, kind, TRIES).await;
+        let others = spawn_local(request_others(fleet.clone(), |number| format!("/safe/{number}"), ATTEMPTS * 3));
+        let last_status = send_deadly(&fleet, kind, ATTEMPTS).await;
         let (served, total) = others.await.unwrap();
         let (crashes, late) = (history.crashes.borrow().len(), history.late_arrivals());
         println!("{kind:?}: {late} late arrivals, {crashes} instances ended, {served} of {total} others served");
@@ -271,7 +271,7 @@
 
 /// A gate that starts later has seen no crash itself and has to get the reports of its peers first.
 #[rstest]
-fn a_gate_that_starts_later_has_heard_before_it_lets_through() {
+fn a_gate_that_starts_later_gets_reports_before_it_admits_requests() {
     run(async {
         let (fleet, history) = start().await;
         send_deadly(&fleet, RequestKind::Plain, 6).await;
@@ -290,7 +290,7 @@
 /// All instances crash at the same moment, twice, and no request has caused it. Every client sends the same
 /// request, which is running in each of the instances.
 #[rstest]
-fn what_everybody_asks_for_is_served_again_after_all_instances_were_ended_from_outside() {
+fn what_every_client_requests_is_served_again_after_all_instances_were_ended_from_outside() {
     run(async {
         let (fleet, history) = start().await;
         for _ in 0..2 {
--- a/crates/sidecar/tests/path/deadlines.rs
+++ b/crates/sidecar/tests/path/deadlines.rs
@@ -65,7 +65,7 @@
 /// Guards against a gate that attributes a stall of its own process to its instance and then refuses requests
 /// with less time left than that.
 #[rstest]
-fn a_standstill_of_the_gate_is_none_of_the_instances_time() {
+fn a_stall_of_the_gate_does_not_count_as_time_of_the_instance() {
     run(async {
         let fleet = Fleet::new();
         fleet.source.configure(configuration(1, vec![route("/safe/", "books", Safe)]));
--- a/crates/sidecar/tests/path/instance.rs
+++ b/crates/sidecar/tests/path/instance.rs
@@ -20,7 +20,9 @@
 /// A step of the script that a test instance runs for a request.
 #[derive(Clone)]
 pub enum Action {
+    /// Writes this text to the connection.
     Send(String),
+    /// Waits this many milliseconds; the script ends when the caller closes the connection meanwhile.
     Sleep(u64),
     /// Makes a call through the node at this address and responds with 200 when the call got 200, else with
     /// 500.
@@ -28,6 +30,7 @@
     /// Runs a callback of the test.
     Invoke(Rc<dyn Fn()>),
     Close,
+    /// Closes the connection with a TCP reset.
     Reset,
     /// Crashes the whole instance after this many milliseconds: its port and all its connections close, also
     /// when the caller has gone meanwhile.
--- a/crates/sidecar/tests/path/keys.rs
+++ b/crates/sidecar/tests/path/keys.rs
@@ -62,7 +62,7 @@
 #[case::missing(get("/safe/", "a"))]
 #[case::unknown_on_a_public_route(keyed("/open/", "a", "three"))]
 #[case::as_long_as_a_page(keyed("/safe/", "a", &"x".repeat(4_000)))]
-fn without_a_key_that_is_held_nothing_runs(#[case] request: String) {
+fn nothing_runs_without_a_valid_key(#[case] request: String) {
     run(async {
         let fleet = Fleet::new();
         let (_node, instance) = start_node(&fleet).await;
@@ -97,7 +97,7 @@
 }
 
 #[rstest]
-fn a_key_that_is_withdrawn_counts_no_more_and_one_that_moves_is_its_new_holders() {
+fn a_revoked_key_is_refused_and_a_moved_one_belongs_to_its_new_tenant() {
     run(async {
         let fleet = Fleet::new();
         let (node, instance) = start_node(&fleet).await;
@@ -112,7 +112,7 @@
 #[rstest]
 #[case::shared_key(vec![tenant("left", &["one"]), tenant("right", &["one"])])]
 #[case::empty_key(vec![tenant("left", &[""])])]
-fn tenants_that_are_wrong_leave_the_last_good_ones_in_force(#[case] invalid: Vec<Tenant>) {
+fn invalid_tenants_leave_the_last_valid_ones_in_force(#[case] invalid: Vec<Tenant>) {
     run(async {
         let fleet = Fleet::new();
         let (node, _instance) = start_node(&fleet).await;
@@ -142,7 +142,7 @@
 }
 
 #[rstest]
-fn keys_count_only_while_the_configuration_is_proven_to_be_young() {
+fn keys_are_accepted_only_while_the_configuration_is_proven_to_be_recent() {
     run(async {
         let fleet = fail_closed_fleet();
         let (node, instance) = start_node(&fleet).await;
@@ -190,7 +190,7 @@
 }
 
 #[rstest]
-fn a_configuration_that_can_not_be_taken_proves_nothing_of_the_one_before() {
+fn a_configuration_that_cannot_be_applied_proves_nothing_of_the_one_before() {
     run(async {
         let fleet = fail_closed_fleet();
         let (_node, _instance) = start_node(&fleet).await;
@@ -205,7 +205,7 @@
 /// was lost. Guards against a new node that knows of no restore, takes its first read as proof and accepts
 /// the key with status 200: the wait has to begin with a node's first epoch, too.
 #[rstest]
-fn a_node_that_starts_after_the_source_lost_a_withdrawal_does_not_take_the_key() {
+fn a_node_that_starts_after_the_source_lost_a_revocation_does_not_accept_the_key() {
     run(async {
         let mut fleet = Fleet::new();
         fleet.keys_proven_within = Some(PROVEN_WITHIN);
--- a/crates/sidecar/tests/path/leaving.rs
+++ b/crates/sidecar/tests/path/leaving.rs
@@ -21,7 +21,7 @@
 /// Time after the announcement within which no node sends the instance any more requests.
 const DRAIN: Duration = Duration::from_millis(500);
 /// Incarnation of the leaving instance.
-const FIRST_START: u64 = 1_700_000_000_000;
+const FIRST_INCARNATION: u64 = 1_700_000_000_000;
 
 /// Responds, and announces that the instance is leaving while `leaves` is set.
 fn leaving_while(leaves: Rc<Cell<bool>>, arrivals: Arrivals) -> impl Fn(&ReceivedRequest, usize) -> Vec<Action> {
@@ -47,7 +47,7 @@
     let fleet = Rc::new(fleet);
     fleet.source.configure(configuration(1, vec![route("/safe/", BOOKS, Safe)]));
     let (leaves, arrivals): (Rc<Cell<bool>>, Arrivals) = Default::default();
-    list_ready(&fleet, FIRST_START);
+    list_ready(&fleet, FIRST_INCARNATION);
     let script = leaving_while(leaves.clone(), arrivals.clone());
     TestInstance::start(fleet.instance_address(2), script).await;
     if with_another {
@@ -64,8 +64,8 @@
 }
 
 /// Lists the instance as ready in the source, whatever its responses announce.
-fn list_ready(fleet: &Fleet, start: u64) {
-    fleet.list_with_incarnation(2, "books-1", BOOKS, Ready, Incarnation(start));
+fn list_ready(fleet: &Fleet, incarnation: u64) {
+    fleet.list_with_incarnation(2, "books-1", BOOKS, Ready, Incarnation(incarnation));
 }
 
 /// Disturbance of the fleet after the instance has announced that it is leaving.
@@ -100,7 +100,7 @@
                     gate = KillableNode::start(&fleet, 2, BOOKS).await;
                 }
                 Disturbance::SourceAway => fleet.source.set_down(round % 2 == 0),
-                Disturbance::ListedAgain => list_ready(&fleet, FIRST_START),
+                Disturbance::ListedAgain => list_ready(&fleet, FIRST_INCARNATION),
             }
             run_clients(&edges, CLIENTS, "/safe/a", Duration::from_millis(700)).await;
         }
@@ -118,7 +118,7 @@
         leaves.set(true);
         run_clients(&edges, CLIENTS, "/safe/a", Duration::from_millis(500)).await;
         leaves.set(false);
-        list_ready(&fleet, FIRST_START + 60_000);
+        list_ready(&fleet, FIRST_INCARNATION + 60_000);
         tokio::time::sleep(Duration::from_millis(500)).await;
         let began = Instant::now();
         run_clients(&edges, CLIENTS, "/safe/a", Duration::from_secs(1)).await;
--- a/crates/sidecar/tests/path/limits.rs
+++ b/crates/sidecar/tests/path/limits.rs
@@ -95,7 +95,7 @@
 #[case::few("2.8", 2.8)]
 #[case::very_few("0.2", 0.2)]
 #[case::none("0", 0.0)]
-fn an_instance_gets_no_more_than_the_rate_that_it_names(
+fn an_instance_gets_no_more_than_the_rate_that_it_declares(
     #[case] declared: &'static str,
     #[case] rate: f64,
     #[values(2, CLIENTS)] clients: usize,
@@ -120,7 +120,7 @@
 /// The service accepts the sum of the declared rates: that many requests are served, and refusals say when to
 /// retry.
 #[rstest]
-fn where_all_instances_name_rates_their_sum_is_served_and_the_others_are_told_when_to_return() {
+fn where_all_instances_declare_rates_their_sum_is_served_and_refusals_say_when_to_retry() {
     run(async move {
         let declared = || Rc::new(Cell::new(Some("12")));
         let (fleet, arrivals) = fleet_with_declared_rates([declared(), declared()]).await;
@@ -191,7 +191,7 @@
 
 /// An instance that never declared a readable rate is not limited.
 #[rstest]
-fn an_instance_that_never_names_a_readable_rate_has_its_share() {
+fn an_instance_that_never_declares_a_readable_rate_has_its_share() {
     run(async move {
         let declared: DeclaredRate = Rc::new(Cell::new(Some("-1")));
         let (fleet, [unreadable, other]) = fleet_with_declared_rates([declared, DeclaredRate::default()]).await;
@@ -263,7 +263,7 @@
 /// Requests are held back before they make their calls, so that the calls of admitted requests fit into the
 /// rate.
 #[rstest]
-fn where_a_called_service_names_rates_requests_are_held_back_at_the_first_node() {
+fn where_a_called_service_declares_rates_requests_are_held_back_at_the_first_node() {
     run(async move {
         let fleet = Rc::new(Fleet::new());
         let routes = vec![route("/front/", "front", Safe), route("/safe/", BOOKS, Safe)];
--- a/crates/sidecar/tests/path/replaced.rs
+++ b/crates/sidecar/tests/path/replaced.rs
@@ -2,11 +2,12 @@
 //!
 //! These tests guard against callers that get `503 no-instance` within a second of the end of some instances
 //! although a healthy one runs all the time, and against many refused retries after all machines were lost at
-//! once. An instance ends, and its process starts again at the same address under another name. Requests offered
-//! for the old name reach it and are rejected, and each rejection counts as an attempt, so after two of them the
-//! route allows no third: attempts `books-2-1:wrong-instance,books-1-1:wrong-instance`, 59 ms after the second
-//! restart, while two other instances ran. The local gate had seen the end, since the port refused connections,
-//! but applied it only to the exchange that had failed and still sent the next request to the port.
+//! once. An instance ends, and its process starts again at the same address under another name. Requests
+//! offered for the old name reach it and are rejected, and each rejection counts as an attempt, so after two
+//! of them the route allows no third: attempts `books-2-1:wrong-instance,books-1-1:wrong-instance`, 59 ms
+//! after the second restart, while two other instances ran. The local gate had seen the end, since the port
+//! refused connections, but applied it only to the exchange that had failed and still sent the next request
+//! to the port.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -190,7 +191,7 @@
 
 /// Instances crash and restart one after the other while requests are sent one after the other.
 #[rstest]
-fn restarts_in_series_cost_no_request_while_a_sound_instance_lives() {
+fn restarts_in_series_cost_no_request_while_a_healthy_instance_runs() {
     run(async {
         let fleet = new_fleet();
         let misdirected = Misdirected::default();
@@ -227,7 +228,7 @@
 #[case::refused(vec![Action::Send("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".into())])]
 #[case::closed(vec![Action::Close])]
 #[case::no_http(vec![Action::Send("what is this\r\n\r\n".into())])]
-fn an_instance_that_does_not_say_who_it_is_is_served_as_before(#[case] reply: Vec<Action>) {
+fn an_instance_that_does_not_answer_identity_checks_is_used_as_before(#[case] reply: Vec<Action>) {
     run(async move {
         let fleet = new_fleet();
         fleet.list(2, "books-2-1", BOOKS);
--- a/crates/sidecar/tests/path/restarted.rs
+++ b/crates/sidecar/tests/path/restarted.rs
@@ -36,8 +36,8 @@
     fleet
 }
 
-fn list(fleet: &Fleet, start: u64, state: InstanceState) {
-    fleet.list_with_incarnation(2, NAME, BOOKS, state, Incarnation(1_700_000_000_000 + start));
+fn list(fleet: &Fleet, start_number: u64, state: InstanceState) {
+    fleet.list_with_incarnation(2, NAME, BOOKS, state, Incarnation(1_700_000_000_000 + start_number));
 }
 
 async fn request_status(fleet: &Fleet, path: &str, id: &str) -> u16 {
@@ -46,13 +46,13 @@
 
 /// Runs an instance that crashes on `/safe/deadly`, and restarts it under the same name after each crash.
 async fn run_restarting_instance(fleet: Rc<Fleet>, crashes: Rc<Cell<u32>>) {
-    for start in 1.. {
+    for start_number in 1.. {
         let script = |request: &ReceivedRequest, _: usize| match request.head.path() {
             "/safe/deadly" => vec![Action::Crash(10)],
             _ => vec![Action::Send(response(200, &request.id(), "ok"))],
         };
         let instance = TestInstance::start(fleet.instance_address(2), script).await;
-        list(&fleet, start, Ready);
+        list(&fleet, start_number, Ready);
         instance.crashed.notified().await;
         crashes.set(crashes.get() + 1);
         tokio::time::sleep(RESTART_DELAY).await;
@@ -60,7 +60,7 @@
 }
 
 #[rstest]
-fn a_content_that_ends_each_start_of_one_instance_is_held() {
+fn a_content_that_crashes_one_instance_after_each_restart_is_quarantined() {
     run(async {
         let fleet = fleet_of_two().await;
         let crashes: Rc<Cell<u32>> = Rc::default();
--- a/crates/sidecar/tests/path/restored.rs
+++ b/crates/sidecar/tests/path/restored.rs
@@ -123,11 +123,11 @@
         cluster.write_configurations(9, written_before);
         cluster.send_requests_for(RETURN_DETECTED_WITHIN).await;
         let calls = cluster.fleet.source.calls.get();
-        let left = Instant::now();
+        let announced_at = Instant::now();
         cluster.fleet.list_in_state(2, "books-2", BOOKS, Draining);
         cluster.send_requests_for(Duration::from_secs(2)).await;
         let calls = cluster.fleet.source.calls.get() - calls;
-        let late = cluster.last_run_since(0, left).filter(|after| *after > PROPAGATION_TIME);
+        let late = cluster.last_run_since(0, announced_at).filter(|after| *after > PROPAGATION_TIME);
         assert_eq!(
             late, None,
             "a request reached the instance this long after it had announced that it is leaving"
@@ -147,14 +147,14 @@
         cluster.write_configurations(2, 4);
         cluster.fleet.list_in_state(2, "books-2", BOOKS, Draining);
         cluster.send_requests_for(Duration::from_millis(500)).await;
-        let known = Instant::now();
+        let known_at = Instant::now();
         cluster.restore_backup(backup).await;
         cluster.send_requests_for(Duration::from_millis(1_000)).await;
         // The instance writes its entry again, as at each heartbeat.
         cluster.fleet.list_in_state(2, "books-2", BOOKS, Draining);
         cluster.send_requests_for(Duration::from_millis(1_000)).await;
         assert_eq!(
-            cluster.last_run_since(0, known),
+            cluster.last_run_since(0, known_at),
             None,
             "the instance got a request after its announcement was known"
         );
@@ -179,9 +179,9 @@
         cluster.send_requests_for(Duration::from_millis(1_000)).await;
         cluster.fleet.list_in_state(2, "books-2", BOOKS, Ready);
         cluster.fleet.source.unlist("books-3");
-        let written = Instant::now();
+        let written_at = Instant::now();
         cluster.send_requests_for(Duration::from_millis(2_500)).await;
-        assert!(cluster.last_run_since(0, written).is_some(), "the instance is used again");
+        assert!(cluster.last_run_since(0, written_at).is_some(), "the instance is used again");
         assert_eq!(*cluster.failed_statuses.borrow(), Vec::<u16>::new());
     });
 }
@@ -195,14 +195,14 @@
         cluster.write_configurations(2, 4);
         cluster.fleet.source.unlist("books-2");
         cluster.send_requests_for(Duration::from_millis(1_000)).await;
-        let gone = Instant::now();
+        let removed_at = Instant::now();
         cluster.restore_backup(backup).await;
         // Three heartbeat intervals without a renewal.
         cluster.send_requests_for(Duration::from_millis(300)).await;
         cluster.fleet.source.unlist("books-2");
         cluster.send_requests_for(Duration::from_millis(1_000)).await;
         assert_eq!(
-            cluster.last_run_since(0, gone),
+            cluster.last_run_since(0, removed_at),
             None,
             "the instance got a request after its removal was known"
         );
--- a/crates/sidecar/tests/path/source.rs
+++ b/crates/sidecar/tests/path/source.rs
@@ -65,7 +65,7 @@
 }
 
 #[rstest]
-fn a_node_acts_on_nothing_old_when_it_starts() {
+fn a_starting_node_does_not_act_on_stale_data() {
     run(async {
         let fleet = fleet_of_three();
         fleet.source.set_fault(Fault::StaleReadsOnly);
@@ -145,7 +145,7 @@
 }
 
 #[rstest]
-fn what_lapsed_while_the_source_was_away_is_used_until_it_is_written_again() {
+fn an_entry_that_expired_while_the_source_was_down_is_used_until_it_is_written_again() {
     run(async {
         let fleet = fleet_of_three();
         TestInstance::start(fleet.instance_address(2), respond_ok).await;
