--- a/crates/sidecar/tests/path/leaving.rs
+++ b/crates/sidecar/tests/path/leaving.rs
@@ -18,7 +18,7 @@
 const BOOKS: &str = "books";
 const EDGES: [u8; 2] = [1, 4];
 const CLIENTS: usize = 4;
-/// Time after the announcement within which no node sends the instance any more requests.
+/// Time after the announcement by which all nodes have stopped sending requests to the instance.
 const DRAIN: Duration = Duration::from_millis(500);
 /// Incarnation of the leaving instance.
 const FIRST_INCARNATION: u64 = 1_700_000_000_000;
