--- a/crates/overload/src/admission/demand_levels.rs
+++ b/crates/overload/src/admission/demand_levels.rs
@@ -23,7 +23,7 @@
 /// Smallest admitted fraction that an arrival is scaled by, so that one stray request does not count as
 /// hundreds.
 const MIN_ADMITTED: f64 = 0.03;
-/// Demand below this fraction of the slots is never overload, whatever the class, because averages of few
+/// Demand up to this fraction of the slots is never overload, whatever the class, because averages of few
 /// arrivals are imprecise.
 const MINOR_DEMAND: f64 = 0.02;
 
--- a/crates/overload/src/admission/gate_levels.rs
+++ b/crates/overload/src/admission/gate_levels.rs
@@ -21,7 +21,7 @@
 const ASSUMED_ACCEPTED: f64 = 4.0;
 /// Fraction of the longest accepted wait above which the level is lowered.
 const LONG_WAIT_RATIO: f64 = 0.3;
-/// Factor applied to the level per window while waits are long.
+/// Factor applied to the level while waits are long, once per update however many windows have passed.
 const LONG_WAIT_FACTOR: f64 = 0.93;
 /// Factor applied to the level per window while the instance is busy but waits are short.
 const BUSY_GROWTH: f64 = 1.03;
--- a/crates/overload/src/limit/mod.rs
+++ b/crates/overload/src/limit/mod.rs
@@ -22,7 +22,8 @@
 const DECREASE_INTERVAL: Duration = Duration::from_millis(100);
 /// Fraction of the slots that a cold instance starts with.
 const COLD_FRACTION: f64 = 0.25;
-/// Factor applied to the calls in flight while the gate's process is late.
+/// Factor applied while the gate's process is late, to the calls in flight or to the process limit, whichever
+/// is lower.
 const LATE_FACTOR: f64 = 0.85;
 /// Factor applied to the process limit for each step in which the gate's process keeps up.
 const IN_TIME_FACTOR: f64 = 1.06;
@@ -34,7 +35,7 @@
 pub struct AdaptiveLimit {
     slots: f64,
     current: f64,
-    /// Calls in flight that the gate's own process can handle.
+    /// Calls in flight that the gate's own process can handle; infinite when that is more than the slots.
     process_limit: f64,
     last_decrease: Option<Moment>,
     failures_in_a_row: u32,
--- a/crates/overload/src/pacer.rs
+++ b/crates/overload/src/pacer.rs
@@ -11,18 +11,18 @@
 
 use crate::declared_rate::DeclaredRate;
 
-/// Capacity of the bucket, as time at the declared rate.
+/// Capacity of the bucket, as time at the rate that is let through.
 const BURST: Duration = Duration::from_millis(500);
 /// Smallest capacity of the bucket, in requests, so that a token that is not used at once is not lost.
 const MIN_BURST: f64 = 2.0;
 /// Lowest rate in requests per second, to learn whether the instance declares a higher rate by now.
 const PROBE_RATE: f64 = 0.5;
-/// Refused callers are told to retry at this multiple of the declared rate, because some of them find another
-/// instance in the meantime.
+/// Refused callers are told to retry at this multiple of the rate that is let through, because some of them
+/// find another instance in the meantime.
 const RETRY_RATE_FACTOR: f64 = 1.25;
 /// Longest retry delay, so that callers notice the end of a limit.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Largest token debt, as time at the declared rate, from requests that were sent without a token.
+/// Largest token debt, as time at the rate that is let through, from requests that were sent without a token.
 const MAX_DEBT: Duration = Duration::from_secs(4);
 
 /// Token bucket of one instance. Lets everything through until a rate is declared.
@@ -32,7 +32,7 @@
     /// Requests that may be sent at once; negative if more were sent than allowed.
     tokens: f64,
     refilled_at: Moment,
-    /// When the most recently refused caller was told to retry.
+    /// Time from which the most recently refused caller may retry.
     last_retry: Moment,
 }
 
--- a/crates/overload/src/queue/share.rs
+++ b/crates/overload/src/queue/share.rs
@@ -9,13 +9,13 @@
 #[derive(Debug, Default)]
 pub(super) struct Shares {
     used: HashMap<GroupName, f64>,
-    /// Virtual time at which a new or idle group starts.
+    /// Lowest virtual time at which a new or idle group starts.
     floor: f64,
 }
 
 impl Shares {
-    /// Prepares a group for a new request. A group that was idle starts at the floor, so that it cannot save
-    /// up unused capacity.
+    /// Prepares a group for a new request. The virtual time of a group that was idle is raised to the floor,
+    /// so that it cannot save up unused capacity.
     pub(super) fn activate(&mut self, group: &GroupName, is_backlogged: bool) {
         let used = self.used.entry(group.clone()).or_insert(self.floor);
         if !is_backlogged {
--- a/crates/overload/src/retry_after.rs
+++ b/crates/overload/src/retry_after.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Shortest retry delay.
+/// Base of [`retry_after`] at full admission, and the shortest delay that [`retry_after_wait`] returns.
 const MIN_DELAY: Duration = Duration::from_millis(200);
 /// Longest retry delay.
 const MAX_DELAY: Duration = Duration::from_secs(10);
