--- a/crates/quota/src/node.rs
+++ b/crates/quota/src/node.rs
@@ -12,7 +12,8 @@
 use crate::limit::QuotaLimit;
 use crate::static_share::StaticShare;
 
-/// Validity of a collector's answer. Several answers arrive within it, so that a few may be lost.
+/// Validity of a collector's answer, counted from the sending of the report that it answers. Several answers
+/// arrive within it, so that a few may be lost.
 const ANSWER_VALID_FOR: Duration = Duration::from_millis(1_000);
 /// Fraction of its static share that a node uses after it has lost its collector: with the rest, all
 /// nodes pay back what the fleet may have admitted in excess just before.
--- a/crates/quota/tests/emulation/leases.rs
+++ b/crates/quota/tests/emulation/leases.rs
@@ -12,7 +12,7 @@
 
 /// Bytes of a lease request and its answer.
 const LEASE_BYTES: u64 = 2 * 60;
-/// Size of a lease, as a fraction of the burst per node.
+/// Size of a lease, as a fraction of the burst per node; a lease has at least one token.
 const LEASE_FRACTION: f64 = 0.25;
 
 #[derive(Debug, Clone, Copy)]
