--- a/crates/authentication/src/tenant.rs
+++ b/crates/authentication/src/tenant.rs
@@ -5,7 +5,7 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use olivegate_types::TenantName;
 
-/// Secret that identifies the tenant of a caller. Its debug output is redacted.
+/// Secret that identifies the tenant of a caller. It must not be displayed; its debug output is redacted.
 #[derive(Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ApiKey(String);
 
