--- a/crates/types/src/header.rs
+++ b/crates/types/src/header.rs
@@ -38,5 +38,5 @@
 /// Time spent inside olivegate for a call and the calls that it caused, in microseconds, without queueing for
 /// a slot. Node to caller; a back end may add up those of its calls.
 pub const OWN_PROCESSING_US: &str = "x-olivegate-own-us";
-/// Prefix of the headers that callers may not set, except the three marked "Caller to node".
+/// Prefix of the headers that callers may not set, except those marked "Caller to node".
 pub const RESERVED_PREFIX: &str = "x-olivegate-";
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -56,7 +56,8 @@
     PredictedWait,
     /// The request waited in the queue for too long.
     QueueTimeout,
-    /// A request of a higher class took its place in a full queue.
+    /// Another request took its place in a full queue: one of a higher class, or one of the same class whose
+    /// group has less waiting for its weight.
     Displaced,
     /// No live instance of the service is known.
     NoInstance,
