--- a/crates/quarantine/src/suspect.rs
+++ b/crates/quarantine/src/suspect.rs
@@ -11,7 +11,8 @@
 /// Maximum difference between the times that two nodes report for one event: the transit time of a
 /// datagram.
 const MAX_TIME_ERROR: Duration = Duration::from_millis(10);
-/// Maximum number of ends remembered per content: more would not change the restriction.
+/// Maximum number of ends remembered per content. With the default policy more would not change the
+/// restriction; a threshold above this, including the ends added for an answered content, is never reached.
 const MAX_ENDS: usize = 8;
 /// Time for which a cleared content is kept: reports of ends before its answer may still arrive.
 const ANSWERED_RETENTION: Duration = Duration::from_secs(60);
