--- a/crates/sidecar/src/edge/attempts.rs
+++ b/crates/sidecar/src/edge/attempts.rs
@@ -55,7 +55,8 @@
     max_instances: u32,
     arrivals: u32,
     /// Instances that received the request, and those that may have: a gate that stopped responding may still
-    /// pass it on. They count against the attempts allowed by the route, but need no retry budget.
+    /// pass it on. The latter count against the attempts allowed by the route, too, but sending the request
+    /// again after them needs no retry budget.
     reached_instances: Vec<InstanceName>,
     /// Instances that refused the request without running it, for lack of capacity.
     shed_by: Vec<InstanceName>,
--- a/crates/sidecar/src/edge/call_context.rs
+++ b/crates/sidecar/src/edge/call_context.rs
@@ -39,8 +39,8 @@
         CallContext { root, hop: 0, parent_retry_probability: 0.0 }
     }
 
-    /// The context of a call made by the instance. Where its parent is unknown, the call becomes a root of
-    /// its own route.
+    /// The context of a call made by the instance. Where its parent is unknown, a root is assumed that
+    /// has the call's own route; the call still counts as a call, not as a client's request.
     pub fn for_call(node: &Node, route: &Route, parent: Parent) -> Self {
         let lineage = node.lineage.borrow();
         let parent_retry_probability = lineage.retry_probability(parent) as f32;
