--- a/crates/sidecar/src/gate/quarantine/evidence.rs
+++ b/crates/sidecar/src/gate/quarantine/evidence.rs
@@ -26,7 +26,8 @@
         self.abandoned.has_any(instance, clock::now())
     }
 
-    /// The instance ended with no request waiting for it; only abandoned runs can have caused that.
+    /// The instance ended while nobody waited for the runs that it was executing, so the end is attributed to
+    /// abandoned runs only.
     pub fn on_unobserved_end(&self, node: &Node, instance: &InstanceName, ended: Moment) {
         for abandoned in self.abandoned.take_for(instance, ended) {
             self.suspect(node, &abandoned, ended);
