--- a/crates/sidecar/src/directory/mod.rs
+++ b/crates/sidecar/src/directory/mod.rs
@@ -3,16 +3,16 @@
 //! The source is authoritative: an instance that it lists as draining, or no longer lists, gets no new
 //! requests. After an outage, however, the source may have lost the entries of live instances, which write
 //! them again soon after it recovers. An entry that is missing after an outage is therefore *retained*: it
-//! stays in use until it is listed again, is listed as draining, or the time for writing it again has passed.
-//! Updates between nodes carry the time that remains, so that all nodes end a retention together.
+//! stays in use until it is listed again, its instance says that it is draining, or the time for writing it
+//! again has passed. Updates between nodes carry the time that remains, so that all nodes end a retention
+//! together.
 //!
 //! An entry also expires when only its instance's machine is cut off from the source. The gate on that
 //! machine detects this and attests that the instance is alive. So an entry that is removed while the source
 //! is healthy is retained as well, for the time that the gate needs to attest or to confirm the removal.
 //!
 //! A source that lost acknowledged writes begins a new epoch with a state older than the one known here. A
-//! node adopts that state as everything the source holds, but keeps what it learned about instances in the
-//! meantime.
+//! node adopts that state as everything the source holds, but keeps all that it has learned about instances.
 //!
 //! - `source_update`: applies lists and changes from the source.
 //! - `local_evidence`: what is believed in addition, and when it expires.
--- a/crates/sidecar/src/directory/prior.rs
+++ b/crates/sidecar/src/directory/prior.rs
@@ -2,8 +2,8 @@
 //!
 //! A source that was restored from a backup lists instances as they were when the backup was taken. What a
 //! node has learned since about the same incarnation takes precedence: an instance that was leaving stays out
-//! of use, and one whose entry was removed is used again only after it has written to the source, or after
-//! its entry has outlived the expiry of an entry that is not renewed.
+//! of use, and one whose entry was removed is used again only after it has written to the source since the
+//! restore, or after its entry has outlived the expiry of an entry that is not renewed.
 
 use crate::model::{Epoch, Instance, InstanceState};
 use crate::source::ListedInstance;
--- a/crates/sidecar/src/directory/retention.rs
+++ b/crates/sidecar/src/directory/retention.rs
@@ -21,7 +21,7 @@
     pub expires_within: Duration,
 }
 
-/// Whether the source answers, as this node knows.
+/// Whether the source answers, according to this node's latest reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(super) enum SourceHealth {
     /// It answers.
