--- a/crates/sidecar/src/lineage/mod.rs
+++ b/crates/sidecar/src/lineage/mod.rs
@@ -368,7 +368,7 @@
         if let Some(index) = self.orphan_failures.iter().position(explains) {
             return self.orphan_failures.remove(index).map_or(ResponseFault::Callee, |failure| failure.fault);
         }
-        // An instance that gives up at its deadline was waiting for something else.
+        // At its deadline an instance gives up, whatever delayed it; that is not counted as its own fault.
         if status == GATEWAY_TIMEOUT { ResponseFault::Callee } else { ResponseFault::Instance }
     }
 
