--- a/crates/sidecar/src/follow/watch.rs
+++ b/crates/sidecar/src/follow/watch.rs
@@ -9,7 +9,7 @@
 //!
 //! A change missed by a call on a failed connection is known after a check interval, three calls and the
 //! propagation to all nodes: 0.45 s, 0.15 s and 0.3 s if calls take 50 ms and the bound is 2 s. With a longer
-//! bound, calls and checks are proportionally less frequent.
+//! bound, calls and checks are proportionally less frequent. These figures are calculated, not measured.
 
 use std::convert::Infallible;
 use std::ops::Range;
@@ -30,7 +30,7 @@
 /// changes is followed by one that reports what it missed, so waits end before a check is due, and only an
 /// overdue call causes checks. Even if no check reports the change, the bound holds: if calls report nothing
 /// for one second, a call that begins at the end of that second ends in time, as one second, the longest wait
-/// and 0.3 s of propagation add up to 1.74 s of the 2 s allowed.
+/// and 0.3 s of propagation add up to 1.74 s of the 2 s allowed (calculated, not measured).
 const WAIT_FRACTION: f64 = 0.2;
 /// Ratio of the longest wait to the shortest. It desynchronizes readers that began together.
 const WAIT_SPREAD: f64 = 1.1;
