--- a/crates/sidecar/src/peers/suspects.rs
+++ b/crates/sidecar/src/peers/suspects.rs
@@ -38,8 +38,9 @@
 /// Interval of repeats. A gate that was partitioned hears of the contents that are held back from one of ten
 /// others within about 100 ms.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// One in this many repeats covers everything that is remembered, not only what is held back. Most of that
-/// is requests that were in an instance together with the one that ended it, about 100 bytes each.
+/// One in this many repeats takes its contents from everything that is remembered, not only from what is held
+/// back. Most of that is requests that were in an instance together with the one that ended it, about 100
+/// bytes each.
 const FULL_REPEAT_EVERY: u32 = 5;
 /// Number of gates that a starting node requests reports from, and number of attempts.
 const SYNC_FAN_OUT: usize = 4;
