--- a/crates/sidecar/src/model.rs
+++ b/crates/sidecar/src/model.rs
@@ -36,7 +36,7 @@
 pub struct Revision {
     /// Epoch in which the source assigned it.
     pub epoch: Epoch,
-    /// Number of the change within the epoch.
+    /// Number of the change, counted by the source. A later epoch may assign the same number again.
     pub number: u64,
 }
 
