--- a/crates/sidecar/src/directory/retention.rs
+++ b/crates/sidecar/src/directory/retention.rs
@@ -29,7 +29,7 @@
     Healthy,
     /// It does not answer this node.
     Unreachable {
-        /// When it first answered another node since then.
+        /// When it answered another node since then, for the first time that this node heard of.
         answered_peer_at: Option<Moment>,
     },
     /// It was unreachable and answered again at this time.
