--- a/crates/sidecar/src/model.rs
+++ b/crates/sidecar/src/model.rs
@@ -204,7 +204,7 @@
 /// An instance as listed by the source.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Instance {
-    /// Its name, which it keeps when it restarts.
+    /// Its name; it may restart under the same name.
     pub name: InstanceName,
     /// Its start time.
     pub incarnation: Incarnation,
