--- a/crates/sidecar/src/model.rs
+++ b/crates/sidecar/src/model.rs
@@ -36,7 +36,7 @@
 pub struct Revision {
     /// Epoch in which the source assigned it.
     pub epoch: Epoch,
-    /// Number of the change within the epoch.
+    /// Number of the change, counted by the source. A later epoch may assign the same number again.
     pub number: u64,
 }
 
@@ -204,7 +204,7 @@
 /// An instance as listed by the source.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Instance {
-    /// Its name, which it keeps when it restarts.
+    /// Its name; it may restart under the same name.
     pub name: InstanceName,
     /// Its start time.
     pub incarnation: Incarnation,
