--- a/crates/sidecar/tests/path/calls.rs
+++ b/crates/sidecar/tests/path/calls.rs
@@ -78,7 +78,8 @@
     run(refused_three_calls_down(Duration::ZERO));
 }
 
-/// The same, where the node of the second service reads the call 0.1 s late.
+/// The same, where the thread of the second service's node stalls for 0.1 s between the start of the run and
+/// the reading of its call, as it may beside other load.
 ///
 /// Guards against a request that runs at both instances of the second service. A call never outlasts its
 /// parent, so one whose deadline seemed to be more than 30 ms after its parent's was taken for a client's
--- a/crates/sidecar/tests/path/crashing.rs
+++ b/crates/sidecar/tests/path/crashing.rs
@@ -3,10 +3,10 @@
 //! These tests guard against a client that sends the same path and body again and again, under a new id and
 //! through another node each time. Where nodes identified a failed request only by the id of one attempt,
 //! each new attempt was admitted like any new request, even when the retry budget stopped retries. All
-//! instances of the service then crashed some tens of milliseconds after one another, and again after each
-//! restart. In logs this shows as `exchange_failed reason=broken instance_ended=true content=...` with one
-//! content at every crash, beside others that change, while `offer_refused reason=repeat-budget` already
-//! stops the retries.
+//! instances of the service then crashed some tens of milliseconds after one another, nobody was served until
+//! they had restarted, and then they crashed again. In logs this shows as
+//! `exchange_failed reason=broken instance_ended=true content=...` with one content at every crash, beside
+//! others that change, while `offer_refused reason=repeat-budget` already stops the retries.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/sidecar/tests/path/restored.rs
+++ b/crates/sidecar/tests/path/restored.rs
@@ -1,4 +1,5 @@
-//! A source that is restored from a backup some seconds old: revisions go back and are used again.
+//! A source that is restored from a backup some seconds old after a short outage: revisions go back and are
+//! used again.
 //!
 //! These tests guard against nodes that ignore whatever is not above the revision that they know. Such nodes
 //! follow no change until the source has counted past that revision, and what is written meanwhile stays
@@ -29,8 +30,8 @@
 const RETURN_DETECTED_WITHIN: Duration = Duration::from_millis(1_300);
 /// Time within which all nodes know a change; half of the bound of two seconds.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1_000);
-/// Maximum number of calls that three nodes make to the source in two seconds: one reader whose calls wait a
-/// tenth of a second each, and those after the restore.
+/// Exceeds the calls that three nodes make to the source in two seconds: one reader whose calls wait a tenth
+/// of a second each, and those after the restore.
 const MAX_CALLS: u32 = 60;
 
 /// Three nodes: an edge on machine 1 and the gates of two instances on machines 2 and 3.
--- a/crates/sidecar/tests/path/source.rs
+++ b/crates/sidecar/tests/path/source.rs
@@ -29,8 +29,9 @@
     fleet
 }
 
-/// Exceeds the calls that one reader makes in two seconds: each waits for at least 0.3 of the contact time of
-/// 300 ms, and the reader also probes twice a second.
+/// Exceeds the calls that one reader makes in two seconds: each waits for at least 0.1 s, the minimum that
+/// applies with a contact time of 300 ms, and while a call is overdue the reader checks the source about
+/// twice a second.
 const ONE_READER_CALLS: u32 = 28;
 /// Time after which the nodes have agreed which of them reads: the timeout of the last rank, and a margin.
 const SETTLED_AFTER: Duration = Duration::from_millis(1_800);
