--- a/crates/sidecar/tests/decisions/epochs.rs
+++ b/crates/sidecar/tests/decisions/epochs.rs
@@ -108,7 +108,7 @@
 }
 
 /// The entry of `b` was removed without an announcement, and the restored source lists it again. Its instance
-/// may not renew it.
+/// may be gone, so that nobody renews it.
 fn with_b_removed_and_listed_by_the_restored_source() -> Directory {
     let mut directory = with_a_and_b();
     directory.apply_change(&Change::InstanceRemoved { name: name("b"), revision: revision(0, 21) }, at(0));
--- a/crates/sidecar/tests/decisions/idle_reuse.rs
+++ b/crates/sidecar/tests/decisions/idle_reuse.rs
@@ -35,8 +35,8 @@
     assert_eq!(reuse.max_idle_time(Safe, Moment::from_millis(2_000)), Duration::from_millis(100));
 }
 
-/// Guards against a limit that is too high after the first break. After a long idle time it could still allow
-/// the reuse of connections that the instance has dropped.
+/// Guards against a first break after a long idle time that leaves the limit too high, so that connections
+/// that the instance has dropped are still reused.
 #[rstest]
 #[case::short(300)]
 #[case::long(600)]
--- a/crates/sidecar/tests/decisions/relay.rs
+++ b/crates/sidecar/tests/decisions/relay.rs
@@ -1,4 +1,4 @@
-//! Tests of the dissemination tree of a zone.
+//! Tests of the tree by which a reading of the source reaches the nodes of a zone.
 
 use std::collections::HashSet;
 use std::net::{IpAddr, Ipv4Addr};
--- a/crates/sidecar/tests/decisions/shedding.rs
+++ b/crates/sidecar/tests/decisions/shedding.rs
@@ -112,7 +112,8 @@
     );
 }
 
-/// A client request needs no retry to be served.
+/// A client request that is sent directly to the instance belongs to no call chain: it has its chance to be
+/// served without a retry.
 #[rstest]
 fn requests_without_a_chain_are_not_held_back() {
     let shedding = ShedTracker::default();
