--- a/crates/node/src/control_loops/seats.rs
+++ b/crates/node/src/control_loops/seats.rs
@@ -25,7 +25,8 @@
 const RECOVERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// A node takes a seat only after it has been responsible for it for this time.
 const SETTLING_TIME: Duration = Duration::from_millis(800);
-/// Time that claims are kept if no bundle is in force yet.
+/// Longest time for which any claim is remembered, as assumed while no bundle is in force. A recovering
+/// seat's memory counts as complete after that time.
 const DEFAULT_CLAIM_MEMORY: Duration = Duration::from_secs(600);
 
 /// Seats held by this node, and the seat incarnations that it knows.
--- a/crates/node/src/edge/attempts.rs
+++ b/crates/node/src/edge/attempts.rs
@@ -59,7 +59,8 @@
         self.excluded_time
     }
 
-    /// Makes attempts until one is answered, the retry limits are reached or the deadline passes.
+    /// Makes attempts until one is answered or no further one can be made: the failed one may not be retried,
+    /// a retry limit or the deadline is reached, the body can't be sent again, or no instance is available.
     pub async fn run(&mut self) -> AttemptResult {
         let mut attempt = 0;
         loop {
--- a/crates/node/src/edge/claim.rs
+++ b/crates/node/src/edge/claim.rs
@@ -21,7 +21,8 @@
 const ROUND_TIMEOUT: Duration = Duration::from_millis(400);
 /// `Retry-After` when no majority of the seats can be reached.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// `Retry-After` of the response to a duplicate, such as while the first run is still going.
+/// `Retry-After` of the response to a duplicate, if the first run failed or has no cached response, for
+/// instance because it is still running.
 const DUPLICATE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A granted claim.
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -77,7 +77,8 @@
     pub sign_off: SignOff,
     /// Platform services.
     pub platform: PlatformAddresses,
-    /// Control addresses of some other nodes, contacted at the start.
+    /// Control addresses of some other nodes, contacted at the start and again whenever no live member is
+    /// known at them.
     pub seeds: Vec<SocketAddr>,
     /// Zone of each seat of the claim group; only nodes of that zone may hold it.
     pub seat_zones: Vec<ZoneName>,
