--- a/crates/claims/tests/fuzz.rs
+++ b/crates/claims/tests/fuzz.rs
@@ -293,9 +293,9 @@
         system
     }
 
-    /// A second grant of a key needs votes from after the first claim expired, and a majority
-    /// is used within half of that time from the start of its round. So the granted rounds of a
-    /// key start at least half of that time apart.
+    /// Claims are remembered for `MEMORY`. A second grant of a key needs votes from after the first
+    /// claim expired, and a majority is used within `MEMORY / 2` of the start of its round. So the
+    /// granted rounds of a key start at least `MEMORY / 2` apart.
     fn check_invariants(system: &System, (): &()) {
         for grants in system.grants.values() {
             let mut starts = grants.clone();
