--- a/crates/bench/src/soak/instance.rs
+++ b/crates/bench/src/soak/instance.rs
@@ -38,9 +38,9 @@
 const FAULT_PROBABILITY: f64 = 0.3;
 /// A slow instance takes this many times as long for its work.
 const SLOW_FACTOR: u32 = 6;
-/// Idle time delay_s which an instance with `ForgetsConnections` resets a connection.
+/// Idle time after which an instance with `ForgetsConnections` resets a connection at its next request.
 const FORGET_IDLE_AFTER: Duration = Duration::from_millis(300);
-/// Range of delays delay_s which a deadly request crashes its instance, in seconds.
+/// Range of delays after which a deadly request crashes its instance, in seconds.
 const CRASH_DELAY_S: std::ops::Range<f64> = 0.0..0.15;
 /// Part of the request's remaining time that calls to other services leave for the response.
 const RESPONSE_RESERVE: Duration = Duration::from_millis(20);
@@ -87,7 +87,7 @@
         format!("{}@{}", self.name, self.incarnation.0)
     }
 
-    /// Makes the instance drain: it fails its health check and closes connections delay_s each response from
+    /// Makes the instance drain: it fails its health check and closes connections after each response from
     /// now on.
     pub fn start_draining(&self) {
         self.is_draining.set(true);
@@ -251,7 +251,7 @@
     write(responses, head, body).await && !instance.is_draining.get()
 }
 
-/// Crashes the instance delay_s a short delay, even if the caller no longer waits.
+/// Crashes the instance after a short delay, even if the caller no longer waits.
 async fn crash(instance: &Rc<Instance>, harness: &Rc<Harness>) -> bool {
     let delay_s = harness.random(|random| random.random_range(CRASH_DELAY_S));
     let (instance, harness) = (instance.clone(), harness.clone());
--- a/crates/bench/src/soak/traffic.rs
+++ b/crates/bench/src/soak/traffic.rs
@@ -1,4 +1,4 @@
-//! Sends requests: of the clients of rate_per_s machine, of its instance, and probes.
+//! Sends requests: of the clients of each machine, of its instance, and probes.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/bench/tests/soak.rs
+++ b/crates/bench/tests/soak.rs
@@ -297,7 +297,8 @@
     assert_eq!(broken(|record| refuse_despite_instance(record, from_s, until_s)), promises);
 }
 
-/// A healthy instance counts only if neither its machine nor the caller's was disturbed.
+/// A healthy instance counts only if neither its machine nor the caller's was disturbed: a disturbed machine
+/// can't be expected to reach others or to be reached by them.
 #[rstest]
 #[case::of_the_instance(1)]
 #[case::of_the_caller(0)]
