--- a/crates/node/src/ports/data.rs
+++ b/crates/node/src/ports/data.rs
@@ -24,7 +24,7 @@
 const MAX_HEAD_BYTES: usize = 32 << 10;
 /// Maximum number of headers of a request: those of the caller port plus those that edges add.
 const MAX_HEADERS: usize = 80;
-/// `Retry-After` when this node does not know the instance.
+/// `Retry-After` when this node does not know the bundle, the kind or the instance of a call.
 const UNKNOWN_INSTANCE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Serves the port until the node stops.
